--- a/bench/experiments/ages.ts
+++ b/bench/experiments/ages.ts
@@ -7,7 +7,7 @@
 import type { VmId } from "../../src/ids.ts";
 import type { Random } from "../../src/process/random.ts";
 import { SeededRandom } from "../../src/process/random.ts";
-import type { SchedulerDecisions } from "../../src/process/scheduler/decisions.ts";
+import type { SchedulerFeatures } from "../../src/process/scheduler/scheduler_features.ts";
 import { type BuildRouter, runScenario } from "../run_scenario.ts";
 import type { User } from "../support/example_records.ts";
 import { RuntimeFleet } from "../support/runtime_fleet.ts";
@@ -66,7 +66,7 @@
   broken: Record<string, number>;
 }
 
-const DECISIONS: Record<OrderMode, Partial<SchedulerDecisions>> = {
+const DECISIONS: Record<OrderMode, Partial<SchedulerFeatures>> = {
   production: {},
   first_come: { deadlineOrder: false, fairShare: false },
 };
@@ -76,7 +76,7 @@
   const { user, seed, mode } = options;
   let watch: AcquireWatch | undefined;
   const buildRouter: BuildRouter = (parts) => {
-    const fleet = RuntimeFleet.create({ ...parts, decisions: DECISIONS[mode] });
+    const fleet = RuntimeFleet.create({ ...parts, features: DECISIONS[mode] });
     watch = watchFleet(fleet, { clock: parts.clock, options });
     return fleet;
   };
--- a/bench/experiments/cache_handover.ts
+++ b/bench/experiments/cache_handover.ts
@@ -111,7 +111,7 @@
     seed: seed + 2,
     examples,
     upstreams,
-    decisions: {},
+    features: {},
   });
   const durationMs = options.durationMs ?? DURATION_MS;
   const requests = buildWorkload({
--- a/bench/fleet_control.ts
+++ b/bench/fleet_control.ts
@@ -135,7 +135,9 @@
   let doubts = 0;
   for (const vm of fleet.list()) {
     for (const other of fleet.list()) {
-      if (vm.membership.findDoubt(other.listed.id) !== undefined) doubts += 1;
+      if (vm.membership.findSuspicion(other.listed.id) !== undefined) {
+        doubts += 1;
+      }
     }
   }
   return doubts;
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -100,7 +100,7 @@
 
 function countCalls(fleet: LimitFleet, vms: readonly VmId[]): number {
   return vms
-    .map((vm) => fleet.getLimits(vm).figures.calls)
+    .map((vm) => fleet.getLimits(vm).stats.calls)
     .reduce((sum, calls) => sum + calls, 0);
 }
 
@@ -168,11 +168,11 @@
   }
   const processor = process.cpuUsage(processorBefore);
   const calls = countCalls(fleet, vms);
-  const figures = vms.map((vm) => fleet.getLimits(vm).figures);
+  const figures = vms.map((vm) => fleet.getLimits(vm).stats);
   fleet.admissions.length = 0;
   const bytes = readHeap() - heapBefore;
   await fleet.clock.run(120_000);
-  const left = vms.map((vm) => fleet.getLimits(vm).figures);
+  const left = vms.map((vm) => fleet.getLimits(vm).stats);
   fleet.close();
   return {
     workspaces,
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -8,9 +8,9 @@
 import yargs from "yargs";
 import { hideBin } from "yargs/helpers";
 import {
-  ALL_DECISIONS,
-  type SchedulerDecisions,
-} from "../src/process/scheduler/decisions.ts";
+  ALL_FEATURES,
+  type SchedulerFeatures,
+} from "../src/process/scheduler/scheduler_features.ts";
 import type { RunFigures } from "./figures.ts";
 import { renderComparison, renderFigures } from "./report.ts";
 import {
@@ -22,7 +22,7 @@
 import { SCENARIOS } from "./scenarios.ts";
 import { type User, USERS } from "./support/example_records.ts";
 
-const DECISIONS = Object.keys(ALL_DECISIONS) as (keyof SchedulerDecisions)[];
+const DECISIONS = Object.keys(ALL_FEATURES) as (keyof SchedulerFeatures)[];
 const EACH = "each";
 
 async function main(): Promise<void> {
--- a/bench/run_scenario.ts
+++ b/bench/run_scenario.ts
@@ -5,7 +5,7 @@
  */
 import type { VmId } from "../src/ids.ts";
 import { SeededRandom } from "../src/process/random.ts";
-import type { SchedulerDecisions } from "../src/process/scheduler/decisions.ts";
+import type { SchedulerFeatures } from "../src/process/scheduler/scheduler_features.ts";
 import { BenchClock } from "./support/bench_clock.ts";
 import { computeGoodputBound } from "./clairvoyant.ts";
 import { NaiveFleet } from "./naive/naive_fleet.ts";
@@ -51,9 +51,9 @@
 
 /** Our router with `decisions` changed. */
 export function buildOurs(
-  decisions: Partial<SchedulerDecisions> = {},
+  decisions: Partial<SchedulerFeatures> = {},
 ): BuildRouter {
-  return (parts) => RuntimeFleet.create({ ...parts, decisions });
+  return (parts) => RuntimeFleet.create({ ...parts, features: decisions });
 }
 
 /** The naive router. */
--- a/bench/slopes/order_slopes.ts
+++ b/bench/slopes/order_slopes.ts
@@ -5,7 +5,7 @@
  */
 import { toId } from "../../src/ids.ts";
 import { SilentLog } from "../../src/process/log.ts";
-import { OrderGiver } from "../../src/process/orders/index.ts";
+import { OrderGiver } from "../../src/process/engine_control/index.ts";
 import { SeededRandom } from "../../src/process/random.ts";
 import { listShardUpstreams } from "../../src/process/scheduler/index.ts";
 import {
--- a/bench/slopes/peer_messages.ts
+++ b/bench/slopes/peer_messages.ts
@@ -6,9 +6,9 @@
 import { type Incarnation, toId, type VmId } from "../../src/ids.ts";
 import type {
   AcquireCall,
-  CallFrom,
-  LeaseNews,
+  LeaseUpdate,
   LimitCall,
+  PeerIdentity,
   ProbeCall,
   ShardSummary,
   SyncCall,
@@ -17,7 +17,7 @@
 /** The secret between both ends of the bench. */
 export const PEER_SECRET = "slopes-secret-of-32-characters-..";
 
-const FROM: CallFrom = {
+const FROM: PeerIdentity = {
   vm: toId<VmId>("entry-217"),
   incarnation: toId<Incarnation>("9f86d081884c7d65"),
 };
@@ -98,7 +98,7 @@
   }));
 }
 
-function buildNews(index: number): LeaseNews {
+function buildNews(index: number): LeaseUpdate {
   return {
     lease: toId(`models-3/12:0f3a9c1b:${48_000 + index}`),
     ticket: toId(`entry-217.1a2b3c4d.${48_000 + index}`),
--- a/bench/slopes/shard_slopes.ts
+++ b/bench/slopes/shard_slopes.ts
@@ -5,15 +5,15 @@
  */
 import type { ShardId } from "../../src/ids.ts";
 import { toId } from "../../src/ids.ts";
-import type { AcquireCall, LeaseNews } from "../../src/process/peer_api.ts";
+import type { AcquireCall, LeaseUpdate } from "../../src/process/peer_api.ts";
 import { buildShardId } from "../../src/process/scheduler/index.ts";
 import {
   buildCall,
   buildClass,
   buildPool,
   buildReport,
-  createOwnerBench,
-  type OwnerBench,
+  createOwnerHarness,
+  type OwnerHarness,
 } from "../../test/process/scheduler/fixtures.ts";
 import {
   collectSlope,
@@ -92,7 +92,7 @@
         news: [{ ...news, state: "done", tokens: 300 }],
         withdrawn: [],
       });
-      bench.ask(buildLargeCall(index));
+      bench.acquire(buildLargeCall(index));
       await Promise.resolve();
       await bench.clock.run(0);
     }
@@ -133,7 +133,9 @@
   const rounds = 1_000;
   return await countProcessorTime(rounds, (count) => {
     for (let round = 0; round < count; round++) {
-      for (const { id } of bench.upstreams) bench.owner.noteLoad(id, report, 0);
+      for (const { id } of bench.upstreams) {
+        bench.owner.applyLoadReport(id, report, 0);
+      }
     }
   });
 }
@@ -146,8 +148,8 @@
 }
 
 /** Renews the leases of every `of`-th holder, from `part` on. */
-function sendRenewals(bench: OwnerBench, part: number, of = 1): void {
-  const byHolder = new Map<string, LeaseNews[]>();
+function sendRenewals(bench: OwnerHarness, part: number, of = 1): void {
+  const byHolder = new Map<string, LeaseUpdate[]>();
   for (const [ticket, news] of bench.leases) {
     const holder = getHolder(ticket);
     if (holder % of !== part) continue;
@@ -164,7 +166,7 @@
   }
 }
 
-function buildNews(news: LeaseNews): LeaseNews {
+function buildNews(news: LeaseUpdate): LeaseUpdate {
   return {
     ...news,
     state: "running",
@@ -175,11 +177,11 @@
 }
 
 /** An owner of 16 replicas whose slots are taken, with so many waiting. */
-async function createWaiting(waiters: number): Promise<OwnerBench> {
+async function createWaiting(waiters: number): Promise<OwnerHarness> {
   const bench = await createOwner(16);
   await takeSlots(bench, 16 * SLOTS_PER_REPLICA);
   for (let index = 0; index < waiters; index++) {
-    bench.ask(buildLargeCall(index));
+    bench.acquire(buildLargeCall(index));
   }
   await bench.clock.run(0);
   if (bench.owner.waitingCount !== waiters) {
@@ -188,27 +190,29 @@
   return bench;
 }
 
-async function createLeased(replicas: number): Promise<OwnerBench> {
+async function createLeased(replicas: number): Promise<OwnerHarness> {
   const bench = await createOwner(replicas);
   await takeSlots(bench, replicas * SLOTS_PER_REPLICA);
   return bench;
 }
 
-async function takeSlots(bench: OwnerBench, slots: number): Promise<void> {
-  for (let index = 0; index < slots; index++) bench.ask(buildLargeCall(index));
+async function takeSlots(bench: OwnerHarness, slots: number): Promise<void> {
+  for (let index = 0; index < slots; index++) {
+    bench.acquire(buildLargeCall(index));
+  }
   await bench.clock.run(0);
   if (bench.leases.size !== slots) {
     throw new Error(`${bench.leases.size} leases, not ${slots}`);
   }
 }
 
-function createOwner(replicas: number): Promise<OwnerBench> {
+function createOwner(replicas: number): Promise<OwnerHarness> {
   const slots = {
     initial: SLOTS_PER_REPLICA,
     min: SLOTS_PER_REPLICA,
     max: SLOTS_PER_REPLICA,
   };
-  return createOwnerBench({
+  return createOwnerHarness({
     classes: Array.from(
       { length: CLASSES },
       (_, index) =>
--- a/bench/slopes/store_slopes.ts
+++ b/bench/slopes/store_slopes.ts
@@ -6,13 +6,13 @@
 import { type RequestId, toId } from "../../src/ids.ts";
 import { AnswerStore } from "../../src/process/answer_store.ts";
 import type { Environment } from "../../src/process/environment.ts";
-import { FateStore } from "../../src/process/fate_store.ts";
+import { RequestStatusStore } from "../../src/process/request_status_store.ts";
 import { SilentLog } from "../../src/process/log.ts";
 import { SeededRandom } from "../../src/process/random.ts";
 import { ProcessMetrics } from "../../src/process/request_metrics.ts";
-import { ProcessRunClaims } from "../../src/process/run_claims.ts";
+import { ProcessExecutionClaims } from "../../src/process/execution_claims.ts";
 import type { FinishedRequest } from "../../src/process/services.ts";
-import type { FateStep } from "../../src/request/fate.ts";
+import type { RequestStep } from "../../src/request/request_status.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 import {
   collectSlope,
@@ -29,7 +29,7 @@
 const CLASSES = 5;
 const FINISHED = 5_000;
 const MANY_BYTES = 2 ** 40;
-const STEPS: readonly FateStep["step"][] = [
+const STEPS: readonly RequestStep["step"][] = [
   "arrived",
   "queued",
   "granted",
@@ -85,8 +85,11 @@
   ];
 }
 
-function buildFates(count: number): FateStore {
-  const store = FateStore.create({ maxRecords: count, maxBytes: MANY_BYTES });
+function buildFates(count: number): RequestStatusStore {
+  const store = RequestStatusStore.create({
+    maxRecords: count,
+    maxBytes: MANY_BYTES,
+  });
   for (let index = 0; index < count; index++) {
     const requestId = buildId(index);
     store.start({
@@ -128,8 +131,8 @@
   return store;
 }
 
-async function buildClaims(count: number): Promise<ProcessRunClaims> {
-  const claims = ProcessRunClaims.create(createEnvironment(), {
+async function buildClaims(count: number): Promise<ProcessExecutionClaims> {
+  const claims = ProcessExecutionClaims.create(createEnvironment(), {
     maxClaims: count,
   });
   for (let index = 0; index < count; index++) await runClaim(claims);
@@ -143,10 +146,10 @@
   });
 }
 
-async function runClaim(claims: ProcessRunClaims): Promise<void> {
+async function runClaim(claims: ProcessExecutionClaims): Promise<void> {
   const id = claims.issueId();
-  await claims.claimRun(id);
-  claims.settleRun(id, "answered");
+  await claims.claimExecution(id);
+  claims.settleExecution(id, "answered");
 }
 
 function buildMetrics(entries: number): ProcessMetrics {
--- a/bench/support/runtime_fleet.ts
+++ b/bench/support/runtime_fleet.ts
@@ -38,7 +38,7 @@
   examples: ExampleRecords;
   upstreams: VirtualUpstreams;
   /** Decisions that differ from production. */
-  decisions: Partial<SchedulerDecisions>;
+  features: Partial<SchedulerDecisions>;
 }
 
 interface FleetVm {
@@ -128,7 +128,7 @@
     self: ListedVm,
     { index, entries }: { index: number; entries: readonly ListedVm[] },
   ): void {
-    const { seed, examples, upstreams, decisions } = this.#options;
+    const { seed, examples, upstreams, features: decisions } = this.#options;
     const transport = upstreams.createTransport();
     const clock = this.network.createClock(self.id);
     const runtime = VmRuntime.create({
@@ -145,7 +145,7 @@
       self,
       source: FixedSource.create(clock, examples),
       seeds: entries.map(({ id }) => id),
-      decisions,
+      features: decisions,
     });
     this.#vms.set(self.id, { runtime, transport, sinks: new Set() });
     this.network.addVm(self.id, runtime.api);
--- a/bench/support/virtual_upstreams.ts
+++ b/bench/support/virtual_upstreams.ts
@@ -5,7 +5,7 @@
  */
 import {
   type CacheEvent,
-  type EngineOrder,
+  type EngineCommand,
   type LoadReport,
   type UpstreamAnswer,
   type UpstreamCall,
@@ -167,9 +167,9 @@
     return core.listCacheEvents(after);
   }
 
-  override async sendOrder(
+  override async sendCommand(
     upstream: VmId,
-    order: EngineOrder,
+    order: EngineCommand,
   ): Promise<boolean> {
     const core = await this.#fetchEngine(upstream);
     return core.applyOrder(order);
--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -15,7 +15,7 @@
   CallerRequest,
 } from "../request/caller_request.ts";
 import { REQUEST_ID_HEADER } from "../request/caller_request.ts";
-import { toTrueRefusal } from "../request/refusal_truth.ts";
+import { withProvableOutcome } from "../request/refusal_outcome.ts";
 import { HttpListener } from "./http_listener.ts";
 import type { ServerLimits } from "./http_server.ts";
 import { HttpSink } from "./http_sink.ts";
@@ -111,7 +111,7 @@
     },
   ): Promise<void> {
     const givenId = toSingleHeaders(exchange.incoming)[REQUEST_ID_HEADER];
-    const refusal = toTrueRefusal(
+    const refusal = withProvableOutcome(
       this.#toRefusal(thrown, exchange.isHandled),
       givenId,
     );
--- a/src/connection/engine_reports.ts
+++ b/src/connection/engine_reports.ts
@@ -6,7 +6,7 @@
 import { z } from "zod";
 import type {
   CacheEvent,
-  EngineOrder,
+  EngineCommand,
   LoadReport,
 } from "./upstream_transport.ts";
 
@@ -65,7 +65,7 @@
 }
 
 /** Writes an order as engines read it. */
-export function formatOrder(order: EngineOrder): string {
+export function formatCommand(order: EngineCommand): string {
   return JSON.stringify({
     action: order.action,
     model: order.model,
--- a/src/connection/http_transport.ts
+++ b/src/connection/http_transport.ts
@@ -13,7 +13,7 @@
   type SocketAddress,
 } from "./endpoint.ts";
 import {
-  formatOrder,
+  formatCommand,
   parseCacheEvents,
   parseImported,
   parseLoadReport,
@@ -24,7 +24,7 @@
 import { runUpstreamCall } from "./upstream_call.ts";
 import type {
   CacheEvent,
-  EngineOrder,
+  EngineCommand,
   LoadReport,
   UpstreamAnswer,
   UpstreamCall,
@@ -157,13 +157,13 @@
     });
   }
 
-  async sendOrder(upstream: VmId, order: EngineOrder): Promise<boolean> {
+  async sendCommand(upstream: VmId, order: EngineCommand): Promise<boolean> {
     const answer = await this.#fetchWhole(upstream, {
       step: "send_order",
       method: "POST",
       path: "/v1/orders",
       headers: { "content-type": "application/json" },
-      body: Buffer.from(formatOrder(order)),
+      body: Buffer.from(formatCommand(order)),
       limitMs: ORDER_LIMIT_MS,
       maxBytes: MAX_REPORT_BYTES,
     });
--- a/src/connection/index.ts
+++ b/src/connection/index.ts
@@ -15,7 +15,7 @@
 
 export { UpstreamError, UpstreamTransport } from "./upstream_transport.ts";
 export type {
-  EngineOrder,
+  EngineCommand as EngineOrder,
   LoadReport,
   UpstreamAnswer,
   UpstreamCall,
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -179,7 +179,7 @@
     );
   }
 
-  findFate(call: Peer.FateCall): Promise<Peer.FateAnswer> {
+  findFate(call: Peer.RequestStatusCall): Promise<Peer.RequestStatusAnswer> {
     return this.#send("find_fate", this.#deadlines.short, (client, options) => {
       return client.findFate.mutate(call, options);
     });
--- a/src/connection/peer_schemas.ts
+++ b/src/connection/peer_schemas.ts
@@ -12,10 +12,10 @@
 import type {
   AcquireCall,
   ClaimCall,
-  FateCall,
   HandOverCall,
   LimitCall,
   ProbeCall,
+  RequestStatusCall,
   SettleCall,
   SnapshotCall,
   SuspectsCall,
@@ -134,7 +134,7 @@
     nonce: z.string().min(1),
     outcome: OUTCOME,
   })),
-  findFate: createInput<FateCall>(
+  findFate: createInput<RequestStatusCall>(
     z.looseObject({ requestId: createIdSchema(), withAnswer: z.boolean() }),
   ),
   handOver: createInput<HandOverCall>(z.looseObject({
--- a/src/connection/upstream_transport.ts
+++ b/src/connection/upstream_transport.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { StepError } from "../errors.ts";
-import type { ErrorPlace } from "../errors.ts";
+import type { ErrorContext } from "../errors.ts";
 import type { VmId } from "../ids.ts";
 
 /** Time limits of one call, in milliseconds. */
@@ -75,7 +75,7 @@
   readonly mayHaveRun: boolean;
 
   constructor(
-    place: ErrorPlace,
+    place: ErrorContext,
     options: { kind: UpstreamErrorKind; mayHaveRun: boolean; message: string },
   ) {
     super(place, options.message);
@@ -111,7 +111,7 @@
 }
 
 /** An order to an engine; declarative, so that a repeat does no harm. */
-export interface EngineOrder {
+export interface EngineCommand {
   action: "load" | "unload" | "role";
   model: string;
   version: string;
@@ -138,7 +138,7 @@
     after: number,
   ): Promise<CacheEvent[]>;
   /** Resolves to false when the engine refuses the fencing number. */
-  abstract sendOrder(upstream: VmId, order: EngineOrder): Promise<boolean>;
+  abstract sendCommand(upstream: VmId, order: EngineCommand): Promise<boolean>;
   /** Copies cached prefixes from one engine to another. */
   abstract copyCache(
     from: VmId,
--- a/src/errors.ts
+++ b/src/errors.ts
@@ -6,7 +6,7 @@
 import verror from "verror";
 
 /** Where an error arose. */
-export interface ErrorPlace {
+export interface ErrorContext {
   /** The step of the work, for example `acquire` or `upstream_write`. */
   step: string;
   /** The VM or upstream on the other side, when there is one. */
@@ -19,7 +19,7 @@
   readonly step: string;
   readonly peer: string | undefined;
 
-  constructor(place: ErrorPlace, message: string) {
+  constructor(place: ErrorContext, message: string) {
     super(
       {
         name: "StepError",
--- a/src/process/configuration_follower.ts
+++ b/src/process/configuration_follower.ts
@@ -165,7 +165,7 @@
   async notePeerVersions(vm: VmId, versions: PeerVersions): Promise<void> {
     this.#peers.note(vm, versions);
     if (versions.listAgeMs !== undefined) {
-      const isFresher = this.#membership.noteListNewest(
+      const isFresher = this.#membership.noteListCurrent(
         versions.listRevision,
         versions.listAgeMs,
       );
--- a/src/process/configuration_puller.ts
+++ b/src/process/configuration_puller.ts
@@ -8,7 +8,7 @@
 import type { PeerVersions } from "./configuration_exchange.ts";
 import type { Environment } from "./environment.ts";
 import type { FleetMembership } from "./fleet_membership.ts";
-import { waitAtMost } from "./member_wait.ts";
+import { withTimeout } from "./with_timeout.ts";
 import type { SnapshotAnswer } from "./peer_api.ts";
 
 /** Peers asked at a start, and how long their answers are waited for. */
@@ -60,7 +60,7 @@
     const asked = this.#chooseFirstPeers().map((vm) => this.#fetchOne(vm));
     if (asked.length === 0) return;
     const all = Promise.all(asked);
-    await waitAtMost(all, FIRST_WAIT_MS, environment.clock);
+    await withTimeout(all, FIRST_WAIT_MS, environment.clock);
   }
 
   async #runAll(): Promise<void> {
--- a/src/process/configuration_reader.ts
+++ b/src/process/configuration_reader.ts
@@ -78,7 +78,7 @@
     const { environment, membership } = this.#options;
     if (environment.clock.now() < this.#volunteerUntil) return true;
     const { dataCentre, vm: self } = environment;
-    const watchers = membership.listOrder(`configuration/${dataCentre}`)
+    const watchers = membership.listOwnerOrder(`configuration/${dataCentre}`)
       .filter((vm) => membership.findVm(vm)?.dataCentre === dataCentre)
       .filter((vm) => membership.isReachable(vm) && !membership.isDraining(vm))
       .slice(0, WATCHERS_PER_DATA_CENTRE);
@@ -163,7 +163,7 @@
     const elapsedMs = environment.clock.now() - askedAt;
     const waitedMs = value === undefined ? Math.min(elapsedMs, waitMs) : 0;
     const revision = value === undefined ? after : getRevision(value);
-    membership.noteListNewest(revision, elapsedMs - waitedMs);
+    membership.noteListCurrent(revision, elapsedMs - waitedMs);
   }
 
   async #waitForTurn(): Promise<void> {
--- a/src/process/orders/order_giver.ts
+++ b/src/process/engine_control/engine_controller.ts
@@ -14,12 +14,12 @@
 import type { Snapshot, UpstreamPool } from "../../version/index.ts";
 import type { Environment } from "../environment.ts";
 import type { MembershipView } from "../membership_view.ts";
-import { type PlannedOrder, planOrders } from "./placement.ts";
+import { planCommands, type PlannedCommand } from "./model_placement.ts";
 
 /** How long a confirmed view lets a VM give orders, in milliseconds. */
-export const ORDER_LEASE_MS = 10_000;
+export const COMMAND_LEASE_MS = 10_000;
 /** The longest that an order may be on its way, in milliseconds. */
-export const ORDER_TRANSIT_MS = 5_000;
+export const COMMAND_TRANSIT_MS = 5_000;
 const LEAST_ROUND_MS = 2_000;
 /**
  * What each upstream of the owned pools adds to the time between two rounds,
@@ -32,7 +32,7 @@
 const MINUTE_MS = 60_000;
 
 /** What the giver needs from its process. */
-export interface OrderGiverOptions {
+export interface EngineControllerOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
@@ -43,21 +43,21 @@
 }
 
 /** The giver of orders on one VM. */
-export class OrderGiver {
-  readonly #options: OrderGiverOptions;
+export class EngineController {
+  readonly #options: EngineControllerOptions;
   /** Since when this VM is the listed owner of each pool. */
   readonly #ownedSince = new Map<PoolName, number>();
   readonly #givenAt = new Map<string, number>();
   #tokens = 0;
   #filledAt: number;
 
-  constructor(options: OrderGiverOptions) {
+  constructor(options: EngineControllerOptions) {
     this.#options = options;
     this.#filledAt = options.environment.clock.now();
   }
 
-  static create(options: OrderGiverOptions): OrderGiver {
-    return new OrderGiver(options);
+  static create(options: EngineControllerOptions): EngineController {
+    return new EngineController(options);
   }
 
   /** Gives orders until `signal` aborts. */
@@ -86,7 +86,9 @@
       const upstreams = this.#options.listUpstreams(pool.name, shardIndex);
       const reports = await this.#fetchReports(upstreams);
       const input = { pool, shardIndex, upstreams, reports };
-      for (const order of planOrders(input)) await this.#sendOrder(pool, order);
+      for (const order of planCommands(input)) {
+        await this.#sendOrder(pool, order);
+      }
     }
   }
 
@@ -104,17 +106,17 @@
     const now = environment.clock.now();
     const since = this.#ownedSince.get(pool.name) ?? now;
     this.#ownedSince.set(pool.name, since);
-    if (getViewAgeMs() > ORDER_LEASE_MS) return false;
+    if (getViewAgeMs() > COMMAND_LEASE_MS) return false;
     // An engine that ignores the fencing number would carry out a late order
     // of the previous giver. Its lease and its orders on the way have lapsed
     // only after this time.
     const quietMs = pool.fencing === "ignored"
-      ? ORDER_LEASE_MS + ORDER_TRANSIT_MS
+      ? COMMAND_LEASE_MS + COMMAND_TRANSIT_MS
       : 0;
     return now - since >= quietMs;
   }
 
-  async #sendOrder(pool: UpstreamPool, planned: PlannedOrder): Promise<void> {
+  async #sendOrder(pool: UpstreamPool, planned: PlannedCommand): Promise<void> {
     const { environment, membership } = this.#options;
     const key = JSON.stringify(planned);
     const now = environment.clock.now();
@@ -127,17 +129,17 @@
     const fields = {
       pool: pool.name,
       peer: planned.upstream,
-      action: planned.order.action,
-      model: planned.order.model,
-      version: planned.order.version,
-      adapter: planned.order.adapter,
-      role: planned.order.role,
+      action: planned.command.action,
+      model: planned.command.model,
+      version: planned.command.version,
+      adapter: planned.command.adapter,
+      role: planned.command.role,
       fencing,
     };
     try {
-      const accepted = await environment.upstreams.sendOrder(
+      const accepted = await environment.upstreams.sendCommand(
         planned.upstream,
-        { ...planned.order, fencing },
+        { ...planned.command, fencing },
       );
       environment.log.info(accepted ? "order_given" : "order_fenced", fields);
     } catch (thrown) {
@@ -203,8 +205,8 @@
     }
   }
 
-  #takeStoreToken(planned: PlannedOrder): boolean {
-    if (planned.order.action !== "load") return true;
+  #takeStoreToken(planned: PlannedCommand): boolean {
+    if (planned.command.action !== "load") return true;
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
     return true;
--- a/src/process/orders/placement.ts
+++ b/src/process/engine_control/model_placement.ts
@@ -19,9 +19,9 @@
 }
 
 /** One order that brings an upstream closer to its desired state. */
-export interface PlannedOrder {
+export interface PlannedCommand {
   upstream: VmId;
-  order: Omit<EngineOrder, "fencing">;
+  command: Omit<EngineOrder, "fencing">;
 }
 
 /**
@@ -29,11 +29,11 @@
  * what it holds is not known. A model is unloaded only once the models that
  * the records ask for stand on enough upstreams.
  */
-export function planOrders(input: PlacementInput): PlannedOrder[] {
+export function planCommands(input: PlacementInput): PlannedCommand[] {
   const desired = chooseModels(input);
-  const roles: PlannedOrder[] = [];
-  const loads: PlannedOrder[] = [];
-  const unloads: PlannedOrder[] = [];
+  const roles: PlannedCommand[] = [];
+  const loads: PlannedCommand[] = [];
+  const unloads: PlannedCommand[] = [];
   for (const [upstream, models] of desired) {
     const report = input.reports.get(upstream);
     if (report === undefined) continue;
@@ -106,8 +106,8 @@
   upstream: VmId,
   models: PoolModel[],
   report: LoadReport,
-): PlannedOrder[] {
-  const orders: PlannedOrder[] = [];
+): PlannedCommand[] {
+  const orders: PlannedCommand[] = [];
   for (const model of models) {
     if (!hasModel(report, model)) {
       orders.push(buildOrder(upstream, "load", model, undefined));
@@ -126,11 +126,11 @@
   upstream: VmId,
   role: string | undefined,
   report: LoadReport,
-): PlannedOrder[] {
+): PlannedCommand[] {
   if (role === undefined || report.role === role) return [];
   return [{
     upstream,
-    order: {
+    command: {
       action: "role",
       model: "",
       version: "",
@@ -144,7 +144,7 @@
   upstream: VmId,
   models: PoolModel[],
   report: LoadReport,
-): PlannedOrder[] {
+): PlannedCommand[] {
   // An upstream that no model was assigned to keeps what it holds: an empty
   // replica serves nobody, and a record with too few replicas would empty it.
   if (models.length === 0) return [];
@@ -156,7 +156,7 @@
     )
     .map((held) => ({
       upstream,
-      order: {
+      command: {
         action: "unload",
         model: held.model,
         version: held.version,
@@ -171,10 +171,10 @@
   action: "load" | "unload",
   model: PoolModel,
   adapter: string | undefined,
-): PlannedOrder {
+): PlannedCommand {
   return {
     upstream,
-    order: {
+    command: {
       action,
       model: model.model,
       version: model.version,
--- a/src/process/run_claims.ts
+++ b/src/process/execution_claims.ts
@@ -18,7 +18,7 @@
   parseRequestId,
   type RequestIdParts,
 } from "./request_ids.ts";
-import { RunClaims } from "./services.ts";
+import { ExecutionClaims } from "./services.ts";
 
 /** How long an id may be submitted after it was issued. */
 export const ID_TTL_MS = 15 * 60_000;
@@ -45,10 +45,10 @@
   endedNonces: string[];
 }
 
-type ClaimResult = Awaited<ReturnType<RunClaims["claimRun"]>>;
+type ClaimResult = Awaited<ReturnType<ExecutionClaims["claimExecution"]>>;
 
 /** The claims of one process: on its own ids, and for its own runs. */
-export class ProcessRunClaims extends RunClaims {
+export class ProcessExecutionClaims extends ExecutionClaims {
   readonly #environment: Environment;
   readonly #secret: string;
   /** By id, oldest claim first. */
@@ -71,8 +71,11 @@
   static create(
     environment: Environment,
     options: { maxClaims?: number } = {},
-  ): ProcessRunClaims {
-    return new ProcessRunClaims(environment, options.maxClaims ?? MAX_CLAIMS);
+  ): ProcessExecutionClaims {
+    return new ProcessExecutionClaims(
+      environment,
+      options.maxClaims ?? MAX_CLAIMS,
+    );
   }
 
   /** Settlements that the issuing VMs have not taken yet. */
@@ -84,11 +87,11 @@
     return this.#formatNextId({ isSingle: false });
   }
 
-  issueSingleId(): RequestId {
+  issueSingleUseId(): RequestId {
     return this.#formatNextId({ isSingle: true });
   }
 
-  async claimRun(requestId: RequestId): Promise<ClaimResult> {
+  async claimExecution(requestId: RequestId): Promise<ClaimResult> {
     const parts = parseRequestId(requestId);
     if (parts === undefined || parts.isSingle) return { kind: "unknown_id" };
     const nonce = this.#environment.random.nextHex(NONCE_LENGTH);
@@ -103,7 +106,10 @@
     return { kind: "granted", isStanding: () => clock.now() < standsUntil };
   }
 
-  settleRun(requestId: RequestId, outcome: RunOutcome | "answered"): void {
+  settleExecution(
+    requestId: RequestId,
+    outcome: RunOutcome | "answered",
+  ): void {
     const nonce = this.#ownNonces.get(requestId);
     const parts = parseRequestId(requestId);
     if (nonce === undefined || parts === undefined) return;
--- a/src/process/fleet_membership.ts
+++ b/src/process/fleet_membership.ts
@@ -6,13 +6,13 @@
 import type { PoolName, VmId } from "../ids.ts";
 import type { ListedVm, MembershipList } from "../version/index.ts";
 import type { Environment } from "./environment.ts";
-import { PauseDetector } from "./fleet_pause.ts";
-import { type Contact, MemberBeliefs } from "./member_beliefs.ts";
+import { PauseDetector } from "./pause_detector.ts";
+import { MemberStates, type SelfReport } from "./member_states.ts";
 import { MemberGossip } from "./member_gossip.ts";
 import { MembershipView } from "./membership_view.ts";
-import type { MemberNews } from "./peer_api.ts";
+import type { MemberUpdate } from "./peer_api.ts";
 import { computeRendezvousOrder } from "./rendezvous.ts";
-import { UpstreamWords } from "./member_upstream_words.ts";
+import { UpstreamNotices } from "./upstream_notices.ts";
 
 const MAX_CACHED_ORDERS = 10_000;
 
@@ -28,9 +28,9 @@
   readonly gossip: MemberGossip;
   readonly #environment: Environment;
   readonly #self: ListedVm;
-  readonly #beliefs: MemberBeliefs;
+  readonly #beliefs: MemberStates;
   readonly #pauses: PauseDetector;
-  readonly #upstreamWords: UpstreamWords;
+  readonly #upstreamWords: UpstreamNotices;
   readonly #callbacks: (() => void)[] = [];
   readonly #urgentCallbacks: (() => void)[] = [];
   readonly #orders = new Map<string, VmId[]>();
@@ -47,8 +47,8 @@
     this.#environment = environment;
     this.#self = self;
     this.gossip = MemberGossip.create();
-    this.#upstreamWords = UpstreamWords.create();
-    this.#beliefs = MemberBeliefs.create({
+    this.#upstreamWords = UpstreamNotices.create();
+    this.#beliefs = MemberStates.create({
       self: { vm: environment.vm, incarnation: environment.incarnation },
       clock: environment.clock,
       onNews: (news) => this.#handleNews(news),
@@ -92,7 +92,7 @@
    * Notes that `revision` was the newest published, `ageMs` ago; returns
    * whether that is fresher than what was known.
    */
-  noteListNewest(revision: number, ageMs: number): boolean {
+  noteListCurrent(revision: number, ageMs: number): boolean {
     if (revision !== this.#list.revision) return false;
     const at = this.#environment.clock.now() - ageMs;
     if (at <= this.#listedAt) return false;
@@ -139,18 +139,18 @@
   }
 
   findOwner(key: string): VmId | undefined {
-    return this.listOrder(key).find((vm) =>
+    return this.listOwnerOrder(key).find((vm) =>
       this.isReachable(vm) && !this.isDraining(vm)
     );
   }
 
   findListedOwner(key: string): VmId | undefined {
-    const order = this.listOrder(key);
+    const order = this.listOwnerOrder(key);
     return order.find((vm) => this.#vms.get(vm)?.state === "live");
   }
 
   /** Every listed entry VM in rendezvous order for `key`. */
-  listOrder(key: string): readonly VmId[] {
+  listOwnerOrder(key: string): readonly VmId[] {
     const cached = this.#orders.get(key);
     if (cached !== undefined) return cached;
     const ids = this.#entryVms.map((vm) => vm.id);
@@ -196,22 +196,22 @@
   }
 
   /** What this VM tells of itself in each message. */
-  getOwnContact(): Contact {
+  getSelfReport(): SelfReport {
     return this.#beliefs.getOwn();
   }
 
   /** What is believed of `vm`, unless it simply counts as alive. */
-  findDoubt(vm: VmId): MemberNews | undefined {
+  findSuspicion(vm: VmId): MemberUpdate | undefined {
     return this.#beliefs.findDoubt(vm);
   }
 
   /** Takes in what an entry VM said of itself just now. */
-  noteContact(contact: Contact): void {
+  noteContact(contact: SelfReport): void {
     if (this.#vms.has(contact.from.vm)) this.#beliefs.noteContact(contact);
   }
 
   /** Takes in what another VM passed on. */
-  noteNews(news: readonly MemberNews[]): void {
+  noteNews(news: readonly MemberUpdate[]): void {
     for (const one of news) {
       const role = this.#vms.get(one.vm)?.role;
       if (role === "entry") this.#beliefs.noteNews(one);
@@ -220,21 +220,21 @@
   }
 
   /** Notes that `vm` answered no probe, direct or through others. */
-  noteSilence(vm: VmId): void {
+  noteProbeFailure(vm: VmId): void {
     if (this.#vms.has(vm)) this.#beliefs.noteSilence(vm);
   }
 
   /** Declares dead whom nobody cleared within `suspicionMs`. */
-  applySuspicions(suspicionMs: number): VmId[] {
+  applySuspicionTimeout(suspicionMs: number): VmId[] {
     return this.#beliefs.applySuspicions(suspicionMs);
   }
 
-  #noteUpstreamNews(news: MemberNews): void {
+  #noteUpstreamNews(news: MemberUpdate): void {
     const now = this.#environment.clock.now();
     if (this.#upstreamWords.noteNews(news, now)) this.#handleNews(news);
   }
 
-  #handleNews(news: MemberNews): void {
+  #handleNews(news: MemberUpdate): void {
     this.gossip.putNews(news);
     this.#announceChange();
     const isGone = news.state === "dead" || news.state === "draining";
--- a/src/process/fleet_operator.ts
+++ b/src/process/fleet_operator.ts
@@ -6,7 +6,10 @@
 import { type HealthAnswer, OperatorApi } from "../connection/index.ts";
 import { toError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
-import { buildUnaskedPage, formatFatePage } from "../request/fate_page.ts";
+import {
+  buildUnreachablePage,
+  formatStatusPage,
+} from "../request/request_status_page.ts";
 import { parseSeries } from "./burn_stats.ts";
 import type { Environment } from "./environment.ts";
 import { Readiness } from "./readiness.ts";
@@ -111,12 +114,12 @@
 
   override async findFate(requestId: RequestId): Promise<object | undefined> {
     try {
-      const { fate } = await this.#runtime.fateFinder.findFate(requestId);
-      return fate && formatFatePage(fate);
+      const { fate } = await this.#runtime.fateFinder.findStatus(requestId);
+      return fate && formatStatusPage(fate);
     } catch (thrown) {
       // The VM that would know cannot be asked. That is an answer of its own:
       // "nothing is known" would read as if the request had never come.
-      return buildUnaskedPage(requestId, thrown);
+      return buildUnreachablePage(requestId, thrown);
     }
   }
 
--- a/src/process/limits/held_limit.ts
+++ b/src/process/limits/limit_client.ts
@@ -37,7 +37,7 @@
 const IDLE_MS = 60_000;
 
 /** What a held limit needs. */
-export interface HeldLimitOptions {
+export interface LimitClientOptions {
   clock: Clock;
   countEntryVms: () => number;
   /** Undefined when no owner answered. */
@@ -57,8 +57,8 @@
   | { kind: "silent" };
 
 /** Chunks, local share and waiters of one workspace on this VM. */
-export class HeldLimit {
-  readonly #options: HeldLimitOptions;
+export class LimitClient {
+  readonly #options: LimitClientOptions;
   readonly #chunks = ChunkStore.create();
   readonly #demand: DemandMeter;
   readonly #local: LocalLimit;
@@ -75,7 +75,7 @@
   #silentUntil = -Infinity;
   #usedAt: number;
 
-  constructor(options: HeldLimitOptions) {
+  constructor(options: LimitClientOptions) {
     this.#options = options;
     const now = options.clock.now();
     this.#demand = DemandMeter.create(now);
@@ -83,8 +83,8 @@
     this.#usedAt = now;
   }
 
-  static create(options: HeldLimitOptions): HeldLimit {
-    return new HeldLimit(options);
+  static create(options: LimitClientOptions): LimitClient {
+    return new LimitClient(options);
   }
 
   /** Admits one request, or throws `RefusalError`. */
--- a/src/process/limits/request_rate.ts
+++ b/src/process/limits/request_rate_limiter.ts
@@ -25,7 +25,7 @@
  * A token bucket that may go below 0: requests that others have sent count as
  * soon as they are heard of.
  */
-export class RequestRate {
+export class RequestRateLimiter {
   #requestsPerS = Infinity;
   #namedAt = -Infinity;
   #level = 0;
@@ -36,8 +36,8 @@
   }
 
   /** An upstream that has named no limit up to `now`. */
-  static create(now: number): RequestRate {
-    return new RequestRate(now);
+  static create(now: number): RequestRateLimiter {
+    return new RequestRateLimiter(now);
   }
 
   /** Requests a second; undefined while the upstream names no limit. */
--- a/src/process/limits/workspace_limits.ts
+++ b/src/process/limits/workspace_limits.ts
@@ -13,7 +13,7 @@
 import type { MembershipView } from "../membership_view.ts";
 import type { LimitAnswer, LimitCall, PeerApi } from "../peer_api.ts";
 import { LimitSource } from "../services.ts";
-import { HeldLimit } from "./held_limit.ts";
+import { LimitClient } from "./limit_client.ts";
 import { LimitOwner, toLimitKey } from "./limit_owner.ts";
 
 /** How often idle state is dropped and a pause is looked for. */
@@ -35,7 +35,7 @@
 export class WorkspaceLimits extends LimitSource {
   readonly #options: WorkspaceLimitsOptions;
   readonly #owner: LimitOwner;
-  readonly #held = new Map<WorkspaceName, HeldLimit>();
+  readonly #held = new Map<WorkspaceName, LimitClient>();
   #cancelTick: CancelTimer;
   #tickedAt: number;
   #calls = 0;
@@ -63,7 +63,7 @@
   }
 
   /** Buckets, held limits and calls to owners so far, for metrics. */
-  get figures(): { buckets: number; held: number; calls: number } {
+  get stats(): { buckets: number; held: number; calls: number } {
     return {
       buckets: this.#owner.size,
       held: this.#held.size,
@@ -108,10 +108,10 @@
     });
   }
 
-  #getHeld(workspace: WorkspaceName): HeldLimit {
+  #getHeld(workspace: WorkspaceName): LimitClient {
     const known = this.#held.get(workspace);
     if (known !== undefined) return known;
-    const held = HeldLimit.create({
+    const held = LimitClient.create({
       clock: this.#options.environment.clock,
       countEntryVms: () => this.#options.membership.listEntryVms().length,
       fetchChunk: (amount) => this.#fetchChunk(workspace, amount),
--- a/src/process/local_peer.ts
+++ b/src/process/local_peer.ts
@@ -9,14 +9,14 @@
   type AcquireCall,
   type ClaimAnswer,
   type ClaimCall,
-  type FateAnswer,
-  type FateCall,
   type HandOverCall,
   type LimitAnswer,
   type LimitCall,
   PeerApi,
   type ProbeAnswer,
   type ProbeCall,
+  type RequestStatusAnswer,
+  type RequestStatusCall,
   type SettleCall,
   type SnapshotAnswer,
   type SnapshotCall,
@@ -26,11 +26,11 @@
   type SyncCall,
 } from "./peer_api.ts";
 import type { ConfigurationFollower } from "./configuration_follower.ts";
-import type { FateFinder } from "./fate_finder.ts";
+import type { RequestStatusFinder } from "./request_status_finder.ts";
 import type { WorkspaceLimits } from "./limits/index.ts";
 import type { Prober } from "./prober.ts";
 import type { RequestQuarantine, SuspectEntry } from "./quarantine/index.ts";
-import type { ProcessRunClaims } from "./run_claims.ts";
+import type { ProcessExecutionClaims } from "./execution_claims.ts";
 import type { ShardOwners } from "./scheduler/index.ts";
 
 /** The parts of a process that answer other VMs. */
@@ -39,8 +39,8 @@
   prober: Prober;
   follower: ConfigurationFollower;
   limits: WorkspaceLimits;
-  claims: ProcessRunClaims;
-  fateFinder: FateFinder;
+  claims: ProcessExecutionClaims;
+  requestStatusFinder: RequestStatusFinder;
   quarantine: RequestQuarantine;
   collectStats: () => StatsAnswer;
 }
@@ -91,8 +91,8 @@
     await this.#getParts().claims.answerSettle(call);
   }
 
-  async findFate(call: FateCall): Promise<FateAnswer> {
-    return await this.#getParts().fateFinder.answerFate(call);
+  async findFate(call: RequestStatusCall): Promise<RequestStatusAnswer> {
+    return await this.#getParts().requestStatusFinder.handleStatusCall(call);
   }
 
   async handOver(call: HandOverCall): Promise<boolean> {
@@ -104,6 +104,6 @@
   }
 
   async noteSuspects({ from, entries }: SuspectsCall): Promise<SuspectEntry[]> {
-    return await this.#getParts().quarantine.noteNews(from.vm, entries);
+    return await this.#getParts().quarantine.mergeEntries(from.vm, entries);
   }
 }
--- a/src/process/member_gossip.ts
+++ b/src/process/member_gossip.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { MemberNews, ShardSummary } from "./peer_api.ts";
+import type { MemberUpdate, ShardSummary } from "./peer_api.ts";
 
 /** Bounds on what one message carries. */
 const MAX_NEWS_PER_MESSAGE = 8;
@@ -54,14 +54,14 @@
 
 /** What this VM passes on of members and of shards. */
 export class MemberGossip {
-  readonly #members = new GossipQueue<MemberNews>();
+  readonly #members = new GossipQueue<MemberUpdate>();
   readonly #summaries = new GossipQueue<ShardSummary>();
 
   static create(): MemberGossip {
     return new MemberGossip();
   }
 
-  putNews(news: MemberNews): void {
+  putNews(news: MemberUpdate): void {
     this.#members.put(news.vm, news);
   }
 
@@ -72,7 +72,7 @@
   /** The next message's share, for a fleet of `memberCount` VMs. */
   take(
     memberCount: number,
-  ): { members: MemberNews[]; summaries: ShardSummary[] } {
+  ): { members: MemberUpdate[]; summaries: ShardSummary[] } {
     const maxSends = SENDS_FACTOR * Math.ceil(Math.log2(memberCount + 1));
     return {
       members: this.#members.take(MAX_NEWS_PER_MESSAGE, maxSends),
--- a/src/process/member_beliefs.ts
+++ b/src/process/member_states.ts
@@ -8,7 +8,7 @@
  */
 import type { Incarnation, VmId } from "../ids.ts";
 import type { Clock } from "./clock.ts";
-import type { CallFrom, MemberNews } from "./peer_api.ts";
+import type { MemberUpdate, PeerIdentity } from "./peer_api.ts";
 
 /** Stands for the life of a VM of which none is known by name. */
 export const UNKNOWN_INCARNATION = "?" as Incarnation;
@@ -27,26 +27,26 @@
 }
 
 /** What one VM tells of itself in each message. */
-export interface Contact {
-  from: CallFrom;
+export interface SelfReport {
+  from: PeerIdentity;
   counter: number;
   draining: boolean;
 }
 
 /** A table of beliefs; VMs without an entry count as alive. */
-export class MemberBeliefs {
-  readonly #self: CallFrom;
+export class MemberStates {
+  readonly #self: PeerIdentity;
   readonly #clock: Clock;
-  readonly #onNews: (news: MemberNews) => void;
+  readonly #onNews: (news: MemberUpdate) => void;
   readonly #beliefs = new Map<VmId, Belief>();
   #counter = 0;
   #draining = false;
 
   constructor(
     options: {
-      self: CallFrom;
+      self: PeerIdentity;
       clock: Clock;
-      onNews: (news: MemberNews) => void;
+      onNews: (news: MemberUpdate) => void;
     },
   ) {
     this.#self = options.self;
@@ -57,16 +57,16 @@
   /** `onNews` gets each change of a belief, to be passed on. */
   static create(
     options: {
-      self: CallFrom;
+      self: PeerIdentity;
       clock: Clock;
-      onNews: (news: MemberNews) => void;
+      onNews: (news: MemberUpdate) => void;
     },
-  ): MemberBeliefs {
-    return new MemberBeliefs(options);
+  ): MemberStates {
+    return new MemberStates(options);
   }
 
   /** What this VM tells of itself. */
-  getOwn(): Contact {
+  getOwn(): SelfReport {
     return {
       from: this.#self,
       counter: this.#counter,
@@ -90,14 +90,14 @@
   }
 
   /** What is believed of `vm`, unless it simply counts as alive. */
-  findDoubt(vm: VmId): MemberNews | undefined {
+  findDoubt(vm: VmId): MemberUpdate | undefined {
     const belief = this.#beliefs.get(vm);
     if (belief === undefined || belief.state === "alive") return undefined;
     return toNews(vm, belief);
   }
 
   /** Takes in what a VM said of itself just now. */
-  noteContact(contact: Contact): void {
+  noteContact(contact: SelfReport): void {
     const { vm, incarnation } = contact.from;
     if (vm === this.#self.vm) return;
     const belief = this.#beliefs.get(vm);
@@ -117,7 +117,7 @@
   }
 
   /** Takes in what a third VM said. */
-  noteNews(news: MemberNews): void {
+  noteNews(news: MemberUpdate): void {
     if (news.vm === this.#self.vm) this.#handleDoubt(news);
     else if (this.#isNewer(news)) this.#put(news.vm, this.#toBelief(news));
   }
@@ -173,7 +173,7 @@
     }
   }
 
-  #handleDoubt(news: MemberNews): void {
+  #handleDoubt(news: MemberUpdate): void {
     const isOwnLife = news.incarnation === this.#self.incarnation ||
       news.incarnation === UNKNOWN_INCARNATION;
     const isDoubt = news.state === "suspect" || news.state === "dead";
@@ -191,7 +191,7 @@
     });
   }
 
-  #isNewer(news: MemberNews): boolean {
+  #isNewer(news: MemberUpdate): boolean {
     const belief = this.#beliefs.get(news.vm);
     if (belief === undefined) return true;
     const state = toLiveness(news);
@@ -210,7 +210,7 @@
     return state === "alive" && belief.state !== "alive";
   }
 
-  #toBelief(news: MemberNews): Belief {
+  #toBelief(news: MemberUpdate): Belief {
     const known = this.#beliefs.get(news.vm);
     const isSameLife = known?.incarnation === news.incarnation;
     return {
@@ -228,11 +228,11 @@
   }
 }
 
-function toLiveness(news: MemberNews): Liveness {
+function toLiveness(news: MemberUpdate): Liveness {
   return news.state === "draining" ? "alive" : news.state;
 }
 
-function toNews(vm: VmId, belief: Belief): MemberNews {
+function toNews(vm: VmId, belief: Belief): MemberUpdate {
   const isDraining = belief.state === "alive" && belief.draining;
   return {
     vm,
--- a/src/process/owned_placement.ts
+++ b/src/process/owned_placement.ts
@@ -119,7 +119,7 @@
   /** This VM's work, to be told to those that place requests of its pools. */
   takeWork(): WorkShare[] {
     const { placement, replicas } = this.#options;
-    const news = placement.takeNews();
+    const news = placement.takeUpdate();
     const leaving = replicas.listLeaving();
     const work = { ...news, ...this.#asker.numbers, leaving };
     const owners = this.#findOwners();
@@ -149,9 +149,9 @@
   /** Takes in what another VM told of its work. */
   noteWork(vm: VmId, work: FleetWork): void {
     const { placement, replicas } = this.#options;
-    replicas.noteLeavingNews(work.leaving);
-    placement.loads.answered.settle(vm, work.lastAsk, work.openAsks);
-    placement.noteNews(vm, work);
+    replicas.notePeerLeaving(work.leaving);
+    placement.loads.unreported.settle(vm, work.lastAsk, work.openAsks);
+    placement.applyUpdate(vm, work);
   }
 
   /** Who decides on a pool's requests beside this VM. */
--- a/src/process/peer_api.ts
+++ b/src/process/peer_api.ts
@@ -18,18 +18,18 @@
   WorkspaceName,
 } from "../ids.ts";
 import type { Refusal, RunOutcome } from "../outcome.ts";
-import type { FateRecord } from "../request/fate.ts";
+import type { RequestStatus } from "../request/request_status.ts";
 import type { SuspectEntry } from "./quarantine/index.ts";
 
 /** Who calls. */
-export interface CallFrom {
+export interface PeerIdentity {
   vm: VmId;
   incarnation: Incarnation;
 }
 
 /** Asks a shard's owner for a slot, or renews the place in its queue. */
 export interface AcquireCall {
-  from: CallFrom;
+  from: PeerIdentity;
   shard: ShardId;
   ticket: TicketId;
   requestId: RequestId;
@@ -78,7 +78,7 @@
   | { kind: "pass_on"; shard: ShardId };
 
 /** The limit on requests a second that an upstream's answer named. */
-export interface RateLimitNews {
+export interface RateLimitUpdate {
   /** Left out where it named none. */
   requestsPerS?: number;
   /** Time since the answer. */
@@ -86,7 +86,7 @@
 }
 
 /** What the holder of a lease tells its owner. */
-export interface LeaseNews {
+export interface LeaseUpdate {
   lease: LeaseId;
   ticket: TicketId;
   upstream: VmId;
@@ -102,16 +102,16 @@
   /** Mean time between tokens since the last news, once known. */
   betweenTokensMs: number | undefined;
   /** What the answer under the lease told, once known. */
-  rateLimit?: RateLimitNews | undefined;
+  rateLimit?: RateLimitUpdate | undefined;
   /** How much longer the upstream wants nothing, by its refusal. */
   backOffMs?: number | undefined;
 }
 
 /** Renews, returns and re-announces leases, many in one call. */
 export interface SyncCall {
-  from: CallFrom;
+  from: PeerIdentity;
   shard: ShardId;
-  news: LeaseNews[];
+  news: LeaseUpdate[];
   /** Tickets whose callers went away. */
   withdrawn: TicketId[];
 }
@@ -143,7 +143,7 @@
 }
 
 /** A change in what a VM believes of another. */
-export interface MemberNews {
+export interface MemberUpdate {
   vm: VmId;
   incarnation: Incarnation;
   state: "alive" | "suspect" | "dead" | "draining";
@@ -153,11 +153,11 @@
 
 /** A SWIM probe with piggybacked changes. */
 export interface ProbeCall {
-  from: CallFrom;
+  from: PeerIdentity;
   /** Counts the prober's incarnations' news. */
   counter: number;
   draining: boolean;
-  members: MemberNews[];
+  members: MemberUpdate[];
   summaries: ShardSummary[];
   configVersion: number;
   /** Tells two contents under one version number apart. */
@@ -174,7 +174,7 @@
 
 /** Asks for a configuration newer than `after`. */
 export interface SnapshotCall {
-  from: CallFrom;
+  from: PeerIdentity;
   after: number;
   /** The digest of what the asker has at `after`. */
   digest?: string;
@@ -211,7 +211,7 @@
 
 /** Asks the owner of a workspace's limit for a chunk of it. */
 export interface LimitCall {
-  from: CallFrom;
+  from: PeerIdentity;
   workspace: WorkspaceName;
   /** Requests and tokens wanted. */
   requests: number;
@@ -230,7 +230,7 @@
 
 /** Claims the one run of a request id at the VM that issued the id. */
 export interface ClaimCall {
-  from: CallFrom;
+  from: PeerIdentity;
   requestId: RequestId;
   /** Repeats of one claim carry the same nonce and get the same answer. */
   nonce: string;
@@ -253,14 +253,14 @@
 
 /** Tells the issuing VM how a claimed run ended. */
 export interface SettleCall {
-  from: CallFrom;
+  from: PeerIdentity;
   requestId: RequestId;
   nonce: string;
   outcome: RunOutcome | "answered";
 }
 
 /** Asks for a request's fate. */
-export interface FateCall {
+export interface RequestStatusCall {
   requestId: RequestId;
   /** Whether the retained answer should come along. */
   withAnswer: boolean;
@@ -274,8 +274,8 @@
 }
 
 /** What this VM knows of a request. */
-export interface FateAnswer {
-  fate: FateRecord | undefined;
+export interface RequestStatusAnswer {
+  fate: RequestStatus | undefined;
   answer: RetainedAnswer | undefined;
   /** Said by the VM that issued the id: nobody holds it now. */
   isFree?: boolean;
@@ -283,15 +283,15 @@
 
 /** Hands a shard's queue on when its owner drains. */
 export interface HandOverCall {
-  from: CallFrom;
+  from: PeerIdentity;
   shard: ShardId;
   waiters: AcquireCall[];
-  leases: LeaseNews[];
+  leases: LeaseUpdate[];
 }
 
 /** Evidence against requests that replicas crashed under. */
 export interface SuspectsCall {
-  from: CallFrom;
+  from: PeerIdentity;
   entries: SuspectEntry[];
 }
 
@@ -316,7 +316,7 @@
   abstract leaseLimit(call: LimitCall): Promise<LimitAnswer>;
   abstract claimRun(call: ClaimCall): Promise<ClaimAnswer>;
   abstract settleRun(call: SettleCall): Promise<void>;
-  abstract findFate(call: FateCall): Promise<FateAnswer>;
+  abstract findFate(call: RequestStatusCall): Promise<RequestStatusAnswer>;
   abstract handOver(call: HandOverCall): Promise<boolean>;
   abstract collectStats(): Promise<StatsAnswer>;
   /** Resolves to what the caller should know better. */
--- a/src/process/placement/fetch_source.ts
+++ b/src/process/placement/fetch_source.ts
@@ -11,7 +11,7 @@
  */
 import { type Endpoint, formatEndpoint } from "../../connection/endpoint.ts";
 import type { VmId } from "../../ids.ts";
-import type { PrefixMemory } from "./prefix_memory.ts";
+import type { PrefixIndex } from "./prefix_index.ts";
 import type { ListedReplica } from "./replica_list.ts";
 
 /** Fewer tokens are read in the time that a transfer takes to be set up. */
@@ -37,7 +37,7 @@
 export function findFetchSource(
   replicas: readonly ListedReplica[],
   { parts, partTokens }: PromptParts,
-  prefixes: PrefixMemory,
+  prefixes: PrefixIndex,
 ): FetchSource | undefined {
   const shared = parts.slice(0, -1);
   let best: FetchSource | undefined;
--- a/src/process/placement/index.ts
+++ b/src/process/placement/index.ts
@@ -5,11 +5,14 @@
  */
 export { Locality } from "./locality.ts";
 export { PlacementSource } from "./placement_source.ts";
-export type { AskOwner, OwnerDecision } from "./placement_source.ts";
+export type {
+  FetchPlacement as AskOwner,
+  OwnerDecision,
+} from "./placement_source.ts";
 export { ReplicaChooser } from "./replica_chooser.ts";
 export type { PlacementRequest } from "./replica_chooser.ts";
 export { PlacementState } from "./placement_state.ts";
-export type { PlacementEntry } from "./prefix_memory.ts";
+export type { PlacementEntry } from "./prefix_index.ts";
 export { PrefixPriming } from "./prefix_priming.ts";
 export { ReplicaDirectory } from "./replica_list.ts";
 export type {
@@ -17,4 +20,7 @@
   ListedReplica,
   ReplicaList,
 } from "./replica_list.ts";
-export type { DecisionShare, WarmUpExcess } from "./slow_start.ts";
+export type {
+  PlacementRole as DecisionShare,
+  WarmUpExcess,
+} from "./slow_start.ts";
--- a/src/process/placement/placed_lease.ts
+++ b/src/process/placement/placed_lease.ts
@@ -100,7 +100,7 @@
     const waitedMs = clock.now() - this.#grantedAt;
     // What goes behind others waits in silence until its caller leaves.
     const expectedMs = placement.isDeferred
-      ? request.patienceMs ?? 0
+      ? request.clientTimeoutMs ?? 0
       : PREDICTION_SLACK * placement.predictedMs;
     const isExpected = !this.#hasOutput && waitedMs < expectedMs;
     return isExpected || state.liveness.isAlive(this.upstream);
--- a/src/process/placement/placement_choice.ts
+++ b/src/process/placement/placement_choice.ts
@@ -9,7 +9,7 @@
 import { pickRendezvousFirst } from "../rendezvous.ts";
 import { countTokens } from "./load_totals.ts";
 import type { PlacementState } from "./placement_state.ts";
-import type { PrefixMemory } from "./prefix_memory.ts";
+import type { PrefixIndex } from "./prefix_index.ts";
 import { listHolders } from "./part_holders.ts";
 import { listOnTime } from "./on_time.ts";
 import type { ListedReplica } from "./replica_list.ts";
@@ -18,7 +18,7 @@
   computePromptScore,
   type ScoredPlacement,
 } from "./replica_score.ts";
-import { listSuited } from "./suited_replicas.ts";
+import { listSuited } from "./eligible_replicas.ts";
 import { findFetchSource } from "./fetch_source.ts";
 import {
   computeInteractiveSplit,
@@ -182,7 +182,7 @@
 function findPreferred(
   candidates: readonly ListedReplica[],
   needs: PlacementNeeds,
-  prefixes: PrefixMemory,
+  prefixes: PrefixIndex,
 ): VmId | undefined {
   const key = needs.parts.at(-2) ?? needs.parts.at(-1);
   if (key === undefined || prefixes.hasPart(key)) return undefined;
--- a/src/process/placement/placement_source.ts
+++ b/src/process/placement/placement_source.ts
@@ -12,7 +12,7 @@
   type VmId,
 } from "../../ids.ts";
 import { RefusalError } from "../../outcome.ts";
-import type { FateStep } from "../../request/fate.ts";
+import type { RequestStep } from "../../request/request_status.ts";
 import type { Clock } from "../clock.ts";
 import type { Random } from "../random.ts";
 import { type HeldLease, type LeaseRequest, LeaseSource } from "../services.ts";
@@ -37,7 +37,9 @@
 export type OwnerDecision = Placement | "full" | undefined;
 
 /** Asks a pool's owner; undefined where this VM is to decide by itself. */
-export type AskOwner = (request: PlacementRequest) => Promise<OwnerDecision>;
+export type FetchPlacement = (
+  request: PlacementRequest,
+) => Promise<OwnerDecision>;
 
 /** What placing needs. */
 export interface PlacementSourceOptions {
@@ -48,9 +50,9 @@
   directory: ReplicaDirectory;
   locality: Locality;
   state: PlacementState;
-  askOwner: AskOwner;
+  fetchPlacement: FetchPlacement;
   /** Resolves once what has arrived on this process's sockets was read. */
-  readArrived: () => Promise<void>;
+  waitForSocketReads: () => Promise<void>;
 }
 
 /** Grants without a queue, or refuses. */
@@ -75,13 +77,13 @@
 
   override async acquire(
     request: LeaseRequest,
-    _options: { signal: AbortSignal; onStep: (step: FateStep) => void },
+    _options: { signal: AbortSignal; onStep: (step: RequestStep) => void },
   ): Promise<HeldLease> {
     const needs = this.#buildNeeds(request);
-    const decision = await this.#options.askOwner(needs);
+    const decision = await this.#options.fetchPlacement(needs);
     // Time may have passed without the sockets being read, on a VM that is held
     // up: the caller may have left, and its request must not be sent then.
-    await this.#options.readArrived();
+    await this.#options.waitForSocketReads();
     if (decision === "full") throw this.#createPoolFull(request, needs);
     const placement = decision ?? this.#chooser.choose(needs);
     if (placement === undefined) throw this.#createRefusal(request, needs);
@@ -152,7 +154,8 @@
 
 /** Undefined where the prompt takes its turn however late that is. */
 function chooseTarget(
-  { firstOutputMs, patienceMs, arrivedAt, deadlineAt }: LeaseRequest,
+  { firstOutputMs, clientTimeoutMs: patienceMs, arrivedAt, deadlineAt }:
+    LeaseRequest,
 ): number | undefined {
   return canBeDeferred(patienceMs, deadlineAt - arrivedAt)
     ? firstOutputMs
--- a/src/process/placement/placement_state.ts
+++ b/src/process/placement/placement_state.ts
@@ -7,9 +7,9 @@
 import type { Clock } from "../clock.ts";
 import {
   type PlacementEntry,
-  PrefixMemory,
+  PrefixIndex,
   type ReadEntry,
-} from "./prefix_memory.ts";
+} from "./prefix_index.ts";
 import { PrefillShares } from "./prefill_shares.ts";
 import { type OnBackOff, ReplicaBackOffs } from "./replica_back_offs.ts";
 import { ReplicaHealth, type ResultEntry } from "./replica_health.ts";
@@ -25,7 +25,7 @@
 import { SlowStart, type SlowStartOptions } from "./slow_start.ts";
 
 /** What VMs tell each other; all but the loads is told once. */
-export interface PlacementNews {
+export interface PlacementUpdate {
   loads: LoadEntry[];
   results: ResultEntry[];
   speeds: SpeedEntry[];
@@ -38,7 +38,7 @@
 export interface PlacementStateOptions {
   clock: Clock;
   /** Hears that there is something to tell. */
-  onNews: () => void;
+  onUpdate: () => void;
   onEjected: (replica: VmId, forMs: number) => void;
   onBackOff?: OnBackOff;
   /** Left out where no replica needs a warm-up. */
@@ -51,12 +51,12 @@
   vm: toId<VmId>("none"),
   excess: { ratio: 1, slack: 0 },
   getWarmUp: () => undefined,
-  getShare: () => ({ role: "equal", others: [] }),
+  getRole: () => ({ role: "equal", others: [] }),
 };
 
 const NO_FLEET: Omit<ReplicaRateLimitsOptions, "clock"> = {
-  getShare: () => ({ role: "equal", others: [] }),
-  countHeard: () => 0,
+  getRole: () => ({ role: "equal", others: [] }),
+  countReachable: () => 0,
   onChange: () => {},
 };
 
@@ -65,7 +65,7 @@
   readonly loads: ReplicaLoads;
   readonly health: ReplicaHealth;
   readonly speeds: ReplicaSpeeds;
-  readonly prefixes: PrefixMemory;
+  readonly prefixes: PrefixIndex;
   readonly prefills: PrefillShares;
   readonly liveness: ReplicaLiveness;
   readonly slowStart: SlowStart;
@@ -73,7 +73,8 @@
   readonly backOffs: ReplicaBackOffs;
 
   constructor(options: PlacementStateOptions) {
-    const { clock, onNews, onEjected, onBackOff = () => {} } = options;
+    const { clock, onUpdate: onNews, onEjected, onBackOff = () => {} } =
+      options;
     const { slowStart = NO_WARM_UP, rateLimits = NO_FLEET } = options;
     this.loads = ReplicaLoads.create(clock, onNews);
     this.health = ReplicaHealth.create(clock, (replica, forMs) => {
@@ -82,7 +83,7 @@
       onNews();
     });
     this.speeds = ReplicaSpeeds.create(clock);
-    this.prefixes = PrefixMemory.create(clock);
+    this.prefixes = PrefixIndex.create(clock);
     this.prefills = PrefillShares.create(clock);
     this.liveness = ReplicaLiveness.create(clock);
     this.slowStart = SlowStart.create({ clock, ...slowStart });
@@ -102,25 +103,25 @@
   }
 
   /** This VM's own loads, and what the others were not told yet. */
-  takeNews(): PlacementNews {
+  takeUpdate(): PlacementUpdate {
     return {
       loads: this.loads.listOwn(),
       results: this.health.takeUnsent(),
       speeds: this.speeds.takeUnsent(),
       placements: this.prefixes.takeUnsent(),
       reads: this.prefixes.takeUnsentReads(),
-      limits: this.rateLimits.listNews(),
+      limits: this.rateLimits.listUpdates(),
     };
   }
 
   /** Takes in what another VM told. */
-  noteNews(vm: VmId, news: PlacementNews): void {
+  applyUpdate(vm: VmId, news: PlacementUpdate): void {
     this.loads.putPeer(vm, news.loads);
     this.health.notePeerResults(news.results);
     this.speeds.notePeerSpeeds(news.speeds);
     this.prefixes.notePeerPlacements(news.placements);
     this.prefixes.notePeerReads(news.reads);
-    this.rateLimits.noteNews(vm, news.limits);
+    this.rateLimits.applyUpdates(vm, news.limits);
     for (const [replica, , readTokens] of news.placements) {
       const msPerToken = this.speeds.getMsPerToken(replica);
       this.prefills.addPrefill(replica, readTokens * msPerToken);
--- a/src/process/placement/prefix_memory.ts
+++ b/src/process/placement/prefix_index.ts
@@ -35,7 +35,7 @@
 }
 
 /** Parts of prompts by replica. */
-export class PrefixMemory {
+export class PrefixIndex {
   readonly #clock: Clock;
   readonly #parts = new Map<string, Map<VmId, HeldPart>>();
   #unsent: PlacementEntry[] = [];
@@ -45,8 +45,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): PrefixMemory {
-    return new PrefixMemory(clock);
+  static create(clock: Clock): PrefixIndex {
+    return new PrefixIndex(clock);
   }
 
   /** Takes in that this VM sent a prompt with these parts to `replica`. */
--- a/src/process/placement/prefix_priming.ts
+++ b/src/process/placement/prefix_priming.ts
@@ -13,7 +13,7 @@
 import type { VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 import type { Log } from "../log.ts";
-import type { PlacementEntry, PrefixMemory } from "./prefix_memory.ts";
+import type { PlacementEntry, PrefixIndex } from "./prefix_index.ts";
 
 /** Other VMs that start at the same time are heard within so long, in ms. */
 const SETTLE_MS = 250;
@@ -30,14 +30,14 @@
   listReplicas: () => VmId[];
   fetchFromReplica: (replica: VmId) => Promise<string[]>;
   /** Whether the duty to ask the replicas is this VM's. */
-  isFirst: () => boolean;
+  isResponsible: () => boolean;
 }
 
 /** What priming needs. */
 export interface PrefixPrimingOptions {
   clock: Clock;
   log: Log;
-  prefixes: PrefixMemory;
+  prefixes: PrefixIndex;
   sources: PrimingSources;
 }
 
@@ -77,7 +77,7 @@
     const { sources } = this.#options;
     const [peer] = sources.listPrimedPeers();
     if (peer !== undefined) await this.#fetchFromPeer(peer);
-    else if (sources.isFirst() || waitedMs > PATIENCE_MS) {
+    else if (sources.isResponsible() || waitedMs > PATIENCE_MS) {
       await this.#fetchFromReplicas();
     }
   }
--- a/src/process/placement/replica_back_offs.ts
+++ b/src/process/placement/replica_back_offs.ts
@@ -27,18 +27,18 @@
 
   /** Takes in an answer of the replica to this VM; the longest time holds. */
   noteSignals(replica: VmId, { backOffMs }: UpstreamSignals): void {
-    if (backOffMs <= this.getLeftMs(replica)) return;
+    if (backOffMs <= this.getRemainingMs(replica)) return;
     const isNew = !this.isBackingOff(replica);
     this.#until.set(replica, this.#clock.now() + backOffMs);
     if (isNew) this.#onBackOff(replica, backOffMs);
   }
 
   isBackingOff(replica: VmId): boolean {
-    return this.getLeftMs(replica) > 0;
+    return this.getRemainingMs(replica) > 0;
   }
 
   /** Milliseconds for which the replica is left alone; 0 where it is not. */
-  getLeftMs(replica: VmId): number {
+  getRemainingMs(replica: VmId): number {
     const until = this.#until.get(replica) ?? -Infinity;
     return Math.max(0, until - this.#clock.now());
   }
--- a/src/process/placement/replica_chooser.ts
+++ b/src/process/placement/replica_chooser.ts
@@ -94,7 +94,7 @@
     const waits = this.#listCandidates(request).map((replica) =>
       Math.max(
         rateLimits.computeWaitMs(replica),
-        backOffs.getLeftMs(replica.id),
+        backOffs.getRemainingMs(replica.id),
       )
     );
     return Math.min(...waits);
@@ -118,7 +118,7 @@
       interactive,
     };
     this.#state.addSent(placement.replica);
-    this.#state.loads.answered.note(vm, ask, { replica, load });
+    this.#state.loads.unreported.note(vm, ask, { replica, load });
     this.#state.prefixes.notePeerPlacements([[replica, request.parts, 0]]);
     return placement;
   }
--- a/src/process/placement/replica_list.ts
+++ b/src/process/placement/replica_list.ts
@@ -99,11 +99,11 @@
 
   /** Takes in a replica's own word to this VM that it leaves. */
   noteLeaving(id: VmId): void {
-    this.noteLeavingNews([[id, this.revision]]);
+    this.notePeerLeaving([[id, this.revision]]);
   }
 
   /** Takes in what replicas said to other VMs. */
-  noteLeavingNews(entries: readonly LeavingEntry[]): void {
+  notePeerLeaving(entries: readonly LeavingEntry[]): void {
     const added = entries.filter(([id, revision]) =>
       !this.#leaving.has(id) && this.#isListedAt(id, revision)
     );
--- a/src/process/placement/replica_loads.ts
+++ b/src/process/placement/replica_loads.ts
@@ -10,7 +10,7 @@
  */
 import type { VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
-import { AnsweredLoads } from "./answered_loads.ts";
+import { UnreportedLoads } from "./unreported_loads.ts";
 import {
   addLoads,
   LoadTotals,
@@ -89,13 +89,13 @@
   readonly #peers = new Map<VmId, PeerLoads>();
   readonly #peerTotals = LoadTotals.create();
   /** Placed here for other VMs and not told by them yet. */
-  readonly answered: AnsweredLoads;
+  readonly unreported: UnreportedLoads;
   readonly #onChange: () => void;
 
   constructor(clock: Clock, onChange: () => void) {
     this.#clock = clock;
     this.#onChange = onChange;
-    this.answered = AnsweredLoads.create(clock);
+    this.unreported = UnreportedLoads.create(clock);
   }
 
   /** `onChange` hears of each change of this VM's own work. */
@@ -154,7 +154,7 @@
     this.#dropOldPeers();
     const ofOthers = addLoads(
       this.#peerTotals.get(replica),
-      this.answered.get(replica),
+      this.unreported.get(replica),
     );
     return addLoads(this.#own.get(replica) ?? NO_LOAD, ofOthers);
   }
--- a/src/process/placement/replica_rate_limits.ts
+++ b/src/process/placement/replica_rate_limits.ts
@@ -15,7 +15,7 @@
 import type { Clock } from "../clock.ts";
 import { RequestRate } from "../limits/index.ts";
 import type { ListedReplica } from "./replica_list.ts";
-import type { DecisionShare } from "./slow_start.ts";
+import type { PlacementRole } from "./slow_start.ts";
 
 /** Limits that differ by less, as a share of the one before, are not logged. */
 const LOGGED_CHANGE = 0.25;
@@ -54,9 +54,9 @@
 export interface ReplicaRateLimitsOptions {
   clock: Clock;
   onChange: OnRateLimit;
-  getShare: (pool: PoolName) => DecisionShare;
+  getRole: (pool: PoolName) => PlacementRole;
   /** Other VMs that are heard now. */
-  countHeard: () => number;
+  countReachable: () => number;
 }
 
 interface Record {
@@ -126,7 +126,7 @@
   }
 
   /** What the others are to know. */
-  listNews(): RateLimitEntry[] {
+  listUpdates(): RateLimitEntry[] {
     const now = this.#options.clock.now();
     return [...this.#records]
       .filter(([, record]) => isNews(record, now))
@@ -134,7 +134,7 @@
   }
 
   /** Takes in what another VM told. */
-  noteNews(vm: VmId, entries: readonly RateLimitEntry[]): void {
+  applyUpdates(vm: VmId, entries: readonly RateLimitEntry[]): void {
     const now = this.#options.clock.now();
     for (const [replica, requestsPerS, ageMs, sent] of entries) {
       if (ageMs !== NEVER) {
@@ -191,7 +191,7 @@
    * them may use the rest.
    */
   #computeShare(pool: PoolName): number {
-    const { getShare, countHeard } = this.#options;
+    const { getRole: getShare, countReachable: countHeard } = this.#options;
     const { role, others } = getShare(pool);
     const known = 1 + others.length;
     const heardPart = Math.min(1, (1 + countHeard()) / known);
--- a/src/process/placement/replica_score.ts
+++ b/src/process/placement/replica_score.ts
@@ -17,7 +17,7 @@
 } from "./interactive_replicas.ts";
 import { countTokens } from "./load_totals.ts";
 import { isOnTime } from "./on_time.ts";
-import { computePauses } from "./pause_price.ts";
+import { computePauses } from "./pause_cost.ts";
 import type {
   Placement,
   PlacementKnowledge,
--- a/src/process/placement/replica_speed.ts
+++ b/src/process/placement/replica_speed.ts
@@ -66,11 +66,11 @@
 
   /** Milliseconds for one prompt token. */
   getMsPerToken(replica: VmId): number {
-    return this.#typicalMsPerToken * this.getRatio(replica);
+    return this.#typicalMsPerToken * this.getSlowdown(replica);
   }
 
   /** How slow the replica is against the others; 1 is like them. */
-  getRatio(replica: VmId): number {
+  getSlowdown(replica: VmId): number {
     const speed = this.#speeds.get(replica);
     if (speed === undefined) return 1;
     const age = this.#clock.now() - speed.notedAt;
@@ -89,7 +89,7 @@
       MOST_RATIO,
       Math.max(LEAST_RATIO, msPerToken / this.#typicalMsPerToken),
     );
-    const ratio = this.getRatio(replica);
+    const ratio = this.getSlowdown(replica);
     this.#speeds.set(replica, {
       ratio: ratio + SAMPLE_WEIGHT * (sample - ratio),
       notedAt: this.#clock.now(),
--- a/src/process/placement/slow_start.ts
+++ b/src/process/placement/slow_start.ts
@@ -19,7 +19,7 @@
 import type { DataCentre, PoolName, VmId } from "../../ids.ts";
 import type { WarmUp } from "../../version/records.ts";
 import type { Clock } from "../clock.ts";
-import { computeRendezvousPlace } from "../rendezvous.ts";
+import { computeRendezvousRank } from "../rendezvous.ts";
 import type { ListedReplica, ReplicaList } from "./replica_list.ts";
 
 /**
@@ -37,7 +37,7 @@
 const MS_PER_SECOND = 1_000;
 
 /** Who decides beside this VM. */
-export interface DecisionShare {
+export interface PlacementRole {
   /**
    * `owner` decides for all, `alone` beside owners, `equal` without any; one
    * that is `unsettled` has not heard of the others yet.
@@ -62,7 +62,7 @@
   excess: WarmUpExcess;
   /** What a pool's replicas bear; undefined where they need no warm-up. */
   getWarmUp: (pool: PoolName) => WarmUp | undefined;
-  getShare: (pool: PoolName) => DecisionShare;
+  getRole: (pool: PoolName) => PlacementRole;
 }
 
 /** Replicas that warm up. */
@@ -146,7 +146,7 @@
    * to send.
    */
   #computeGapMs({ id, pool }: ListedReplica): number | undefined {
-    const { excess, getWarmUp, getShare } = this.#options;
+    const { excess, getWarmUp, getRole: getShare } = this.#options;
     const warmUp = getWarmUp(pool);
     if (warmUp === undefined) return 0;
     const { requestsPerS } = warmUp;
@@ -177,7 +177,7 @@
     const vms = [this.#options.vm, ...others];
     const perVm = Math.floor(perS / vms.length);
     if (perVm >= 1) return MS_PER_SECOND / perVm;
-    const place = computeRendezvousPlace(replica, this.#options.vm, others);
+    const place = computeRendezvousRank(replica, this.#options.vm, others);
     return place < perS ? MS_PER_SECOND : undefined;
   }
 
--- a/src/process/placement/answered_loads.ts
+++ b/src/process/placement/unreported_loads.ts
@@ -26,7 +26,7 @@
 }
 
 /** Answers by VM and ask, until the VM's own heartbeat includes them. */
-export class AnsweredLoads {
+export class UnreportedLoads {
   readonly #clock: Clock;
   readonly #totals = LoadTotals.create();
   /** In the order in which they were noted. */
@@ -37,8 +37,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): AnsweredLoads {
-    return new AnsweredLoads(clock);
+  static create(clock: Clock): UnreportedLoads {
+    return new UnreportedLoads(clock);
   }
 
   /** Counts what was placed for ask number `ask` of `vm`. */
--- a/src/process/prober.ts
+++ b/src/process/prober.ts
@@ -7,9 +7,9 @@
 import type { VersionExchange } from "./configuration_exchange.ts";
 import type { Environment } from "./environment.ts";
 import type { FleetMembership } from "./fleet_membership.ts";
-import { SummaryBoard } from "./fleet_summaries.ts";
+import { ShardSummaries } from "./shard_summaries.ts";
 import { MemberRotation } from "./member_rotation.ts";
-import { waitAtMost } from "./member_wait.ts";
+import { withTimeout } from "./with_timeout.ts";
 import type { ProbeAnswer, ProbeCall, ShardSummary } from "./peer_api.ts";
 
 const PERIOD_MS = 500;
@@ -40,7 +40,7 @@
 
 /** One VM's side of the failure detector. */
 export class Prober {
-  readonly summaries: SummaryBoard;
+  readonly summaries: ShardSummaries;
   readonly #environment: Environment;
   readonly #membership: FleetMembership;
   readonly #versions: VersionExchange;
@@ -56,7 +56,7 @@
     this.#membership = options.membership;
     this.#versions = options.versions;
     this.#periodMs = options.periodMs ?? PERIOD_MS;
-    this.summaries = SummaryBoard.create(options.environment.clock);
+    this.summaries = ShardSummaries.create(options.environment.clock);
     this.#rotation = MemberRotation.create(options.environment.random);
   }
 
@@ -132,7 +132,7 @@
     if (pauseCount !== this.#pauseCount || this.#stopped.signal.aborted) {
       return;
     }
-    this.#membership.noteSilence(target);
+    this.#membership.noteProbeFailure(target);
     this.#ownSuspects.add(target);
     this.#environment.log.info("member_suspected", { peer: target });
   }
@@ -145,7 +145,7 @@
       (answer) => this.#handleAnswer(target, answer, askedAt) !== undefined,
       () => false,
     );
-    const result = await waitAtMost(isAnswered, PROBE_TIMEOUT_MS, clock);
+    const result = await withTimeout(isAnswered, PROBE_TIMEOUT_MS, clock);
     return result ?? false;
   }
 
@@ -161,7 +161,7 @@
       return true;
     });
     const anyAnswer = Promise.any(asked).catch(() => false);
-    return await waitAtMost(anyAnswer, INDIRECT_TIMEOUT_MS, clock) ?? false;
+    return await withTimeout(anyAnswer, INDIRECT_TIMEOUT_MS, clock) ?? false;
   }
 
   /** The versions being fetched; undefined for another VM's answer. */
@@ -195,10 +195,10 @@
     const memberCount = this.#membership.listEntryVms().length;
     const { members, summaries } = this.#membership.gossip.take(memberCount);
     // Whom this VM doubts must hear of it to be able to refute it.
-    const doubt = this.#membership.findDoubt(to);
+    const doubt = this.#membership.findSuspicion(to);
     const others = members.filter((news) => news.vm !== to);
     return {
-      ...this.#membership.getOwnContact(),
+      ...this.#membership.getSelfReport(),
       ...this.#versions.getVersions(),
       members: doubt === undefined ? members : [doubt, ...others],
       summaries,
@@ -212,7 +212,9 @@
       LEAST_SUSPICION_PERIODS,
       Math.log2(memberCount + 1),
     );
-    const dead = this.#membership.applySuspicions(periods * this.#periodMs);
+    const dead = this.#membership.applySuspicionTimeout(
+      periods * this.#periodMs,
+    );
     for (const vm of dead) {
       this.#environment.log.warn("member_dead", { peer: vm });
     }
@@ -246,7 +248,7 @@
    */
   #probeSuspects(): void {
     for (const vm of this.#ownSuspects) {
-      const doubt = this.#membership.findDoubt(vm);
+      const doubt = this.#membership.findSuspicion(vm);
       if (doubt?.state === "suspect") void this.#probeDirect(vm);
       else this.#ownSuspects.delete(vm);
     }
@@ -297,7 +299,7 @@
       await fetched;
       return true;
     }, () => false);
-    const result = await waitAtMost(isFetched, REFRESH_TIMEOUT_MS, clock);
+    const result = await withTimeout(isFetched, REFRESH_TIMEOUT_MS, clock);
     return result ?? false;
   }
 }
--- a/src/process/quarantine/index.ts
+++ b/src/process/quarantine/index.ts
@@ -4,6 +4,6 @@
  * @module
  */
 export { type SuspectEntry } from "./crash_evidence.ts";
-export { createPeerSuspectNews } from "./peer_suspect_news.ts";
+export { createPeerSuspectGossip as createPeerSuspectNews } from "./peer_suspect_gossip.ts";
 export { RequestQuarantine } from "./request_quarantine.ts";
-export { SuspectNews } from "./suspect_news.ts";
+export { SuspectGossip as SuspectNews } from "./suspect_gossip.ts";
--- a/src/process/quarantine/peer_suspect_news.ts
+++ b/src/process/quarantine/peer_suspect_gossip.ts
@@ -9,32 +9,32 @@
 import type { MembershipView } from "../membership_view.ts";
 import type { SuspectEntry } from "./crash_evidence.ts";
 import type { RequestQuarantine } from "./request_quarantine.ts";
-import { SuspectNews } from "./suspect_news.ts";
+import { SuspectGossip } from "./suspect_gossip.ts";
 
 /** What telling by calls needs. */
-export interface PeerSuspectNewsOptions {
+export interface PeerSuspectGossipOptions {
   environment: Environment;
   membership: Pick<MembershipView, "listEntryVms" | "isReachable">;
   quarantine: RequestQuarantine;
 }
 
 /** News to the other entry VMs that are reachable. */
-export function createPeerSuspectNews(
-  { environment, membership, quarantine }: PeerSuspectNewsOptions,
-): SuspectNews<VmId> {
+export function createPeerSuspectGossip(
+  { environment, membership, quarantine }: PeerSuspectGossipOptions,
+): SuspectGossip<VmId> {
   const { clock, log, peers, random, vm, incarnation } = environment;
   const from = { vm, incarnation };
   const sendTo = async (peer: VmId, entries: readonly SuspectEntry[]) => {
     const call = { from, entries: [...entries] };
     try {
       const better = await peers.getPeer(peer).noteSuspects(call);
-      quarantine.noteNews(peer, better);
+      quarantine.mergeEntries(peer, better);
     } catch (thrown) {
       // Gossip tells it again.
       log.debug("suspects_not_told", { peer, error: toError(thrown).message });
     }
   };
-  return SuspectNews.create<VmId>({
+  return SuspectGossip.create<VmId>({
     clock,
     random,
     listPeers: () =>
--- a/src/process/quarantine/request_quarantine.ts
+++ b/src/process/quarantine/request_quarantine.ts
@@ -11,7 +11,7 @@
 } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 import type { Log } from "../log.ts";
-import { type BrokenReplica, Quarantine } from "../services.ts";
+import { type DisconnectedReplica, Quarantine } from "../services.ts";
 import { HELD_CRASHES, type SuspectEntry } from "./crash_evidence.ts";
 import { CrashLedger } from "./crash_ledger.ts";
 
@@ -40,7 +40,7 @@
 }
 
 /** A request that must not be sent. */
-export interface HeldRequest {
+export interface QuarantinedRequest {
   fingerprint: RequestFingerprint;
   /** Replicas that crashed under it. */
   crashes: number;
@@ -66,7 +66,7 @@
     return new RequestQuarantine(options);
   }
 
-  getHeldMs(fingerprint: RequestFingerprint): number {
+  getQuarantineMs(fingerprint: RequestFingerprint): number {
     return this.#ledger.getHeldMs(fingerprint);
   }
 
@@ -74,14 +74,14 @@
     return this.#ledger.isSuspect(fingerprint);
   }
 
-  override async noteBreak(
+  override async noteConnectionLoss(
     fingerprint: RequestFingerprint,
-    { id, incarnation, hadOutput }: BrokenReplica,
+    { id, incarnation, hadOutput }: DisconnectedReplica,
   ): Promise<void> {
     const replica = incarnation ?? this.#buildIncarnation(id);
     const hasCrashed = await this.#checkCrash(id, replica);
     if (!hasCrashed || this.#isAnsweredLately(fingerprint)) return;
-    const wasHeld = this.getHeldMs(fingerprint) > 0;
+    const wasHeld = this.getQuarantineMs(fingerprint) > 0;
     if (!this.#ledger.addCrash(fingerprint, replica, hadOutput)) return;
     this.#options.log.info("crash_noted", {
       fingerprint,
@@ -110,14 +110,14 @@
   /**
    * Takes in what another VM knows; returns what that VM should know better.
    */
-  noteNews(
+  mergeEntries(
     from: string,
     entries: readonly SuspectEntry[],
   ): SuspectEntry[] {
     const better: SuspectEntry[] = [];
     for (const entry of entries) {
       const [fingerprint] = entry;
-      const wasHeld = this.getHeldMs(fingerprint) > 0;
+      const wasHeld = this.getQuarantineMs(fingerprint) > 0;
       const isNew = this.#ledger.mergeEntry(entry);
       if (this.#isAnsweredLately(fingerprint)) {
         this.#ledger.noteAnswered(fingerprint);
@@ -137,11 +137,11 @@
   }
 
   /** Requests that are held now, those of most crashes first. */
-  listHeld(): HeldRequest[] {
+  listQuarantined(): QuarantinedRequest[] {
     return this.#ledger.listSuspects().map((fingerprint) => ({
       fingerprint,
       crashes: this.#ledger.countCrashes(fingerprint),
-      leftMs: this.getHeldMs(fingerprint),
+      leftMs: this.getQuarantineMs(fingerprint),
     })).filter(({ leftMs }) => leftMs > 0);
   }
 
@@ -181,7 +181,7 @@
   }
 
   #checkHeld(fingerprint: RequestFingerprint, from: string): void {
-    const heldMs = this.getHeldMs(fingerprint);
+    const heldMs = this.getQuarantineMs(fingerprint);
     if (heldMs === 0) return;
     const [entry] = this.#ledger.buildEntries([fingerprint]);
     const replicas = entry![1].map(([replica]) => replica);
--- a/src/process/quarantine/suspect_news.ts
+++ b/src/process/quarantine/suspect_gossip.ts
@@ -16,7 +16,7 @@
 const PRESSING_ENTRIES = 12;
 
 /** What telling needs; `Peer` is another VM. */
-export interface SuspectNewsOptions<Peer> {
+export interface SuspectGossipOptions<Peer> {
   clock: Clock;
   random: Random;
   listPeers: () => readonly Peer[];
@@ -26,16 +26,18 @@
 }
 
 /** Tells the other VMs. */
-export class SuspectNews<Peer> {
-  readonly #options: SuspectNewsOptions<Peer>;
+export class SuspectGossip<Peer> {
+  readonly #options: SuspectGossipOptions<Peer>;
   readonly #ended = new AbortController();
 
-  constructor(options: SuspectNewsOptions<Peer>) {
+  constructor(options: SuspectGossipOptions<Peer>) {
     this.#options = options;
   }
 
-  static create<Peer>(options: SuspectNewsOptions<Peer>): SuspectNews<Peer> {
-    return new SuspectNews(options);
+  static create<Peer>(
+    options: SuspectGossipOptions<Peer>,
+  ): SuspectGossip<Peer> {
+    return new SuspectGossip(options);
   }
 
   start(): void {
@@ -47,7 +49,7 @@
   }
 
   /** What a VM is told that has just been heard, or is told now and then. */
-  listPressing(): SuspectEntry[] {
+  listTopSuspects(): SuspectEntry[] {
     return this.#options.listEntries(PRESSING_ENTRIES);
   }
 
@@ -61,7 +63,7 @@
     const { signal } = this.#ended;
     while (!signal.aborted) {
       await clock.sleep(GOSSIP_EVERY_MS, signal);
-      const entries = signal.aborted ? [] : this.listPressing();
+      const entries = signal.aborted ? [] : this.listTopSuspects();
       if (entries.length > 0) send(random.pickSome(listPeers(), 1), entries);
     }
   }
--- a/src/process/readiness.ts
+++ b/src/process/readiness.ts
@@ -44,7 +44,7 @@
   #hasSettledShards(): boolean {
     const owners = this.#runtime.owners.listOwners();
     return this.#listOwnShards().every((shard) =>
-      owners.some((owner) => owner.shard === shard && owner.isSettled)
+      owners.some((owner) => owner.shard === shard && owner.canGrant)
     );
   }
 
--- a/src/process/rendezvous.ts
+++ b/src/process/rendezvous.ts
@@ -36,7 +36,7 @@
 }
 
 /** How many of `others` come before `id` in the order for `key`. */
-export function computeRendezvousPlace<T extends string>(
+export function computeRendezvousRank<T extends string>(
   key: string,
   id: T,
   others: readonly T[],
--- a/src/process/fate_finder.ts
+++ b/src/process/request_status_finder.ts
@@ -5,32 +5,32 @@
  */
 import { StepError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
-import type { FateRecord } from "../request/fate.ts";
+import type { RequestStatus } from "../request/request_status.ts";
 import type { AnswerStore } from "./answer_store.ts";
 import type { Environment } from "./environment.ts";
-import type { FateStore } from "./fate_store.ts";
-import type { FateAnswer, FateCall } from "./peer_api.ts";
+import type { RequestStatusStore } from "./request_status_store.ts";
+import type { RequestStatusAnswer, RequestStatusCall } from "./peer_api.ts";
 import { parseRequestId } from "./request_ids.ts";
-import type { ProcessRunClaims } from "./run_claims.ts";
+import type { ProcessExecutionClaims } from "./execution_claims.ts";
 
 /** What a fate finder looks in. */
-export interface FateSources {
+export interface RequestStatusSources {
   environment: Environment;
-  fates: FateStore;
+  fates: RequestStatusStore;
   answers: AnswerStore;
-  claims: ProcessRunClaims;
+  claims: ProcessExecutionClaims;
 }
 
 /** Looks a request's fate up. */
-export class FateFinder {
-  readonly #sources: FateSources;
+export class RequestStatusFinder {
+  readonly #sources: RequestStatusSources;
 
-  constructor(sources: FateSources) {
+  constructor(sources: RequestStatusSources) {
     this.#sources = sources;
   }
 
-  static create(sources: FateSources): FateFinder {
-    return new FateFinder(sources);
+  static create(sources: RequestStatusSources): RequestStatusFinder {
+    return new RequestStatusFinder(sources);
   }
 
   /**
@@ -38,7 +38,9 @@
    * that runs it; no other VM knows a runner, so a question makes two hops at
    * most: to the issuer, and from it to the runner.
    */
-  async answerFate(call: FateCall): Promise<FateAnswer> {
+  async handleStatusCall(
+    call: RequestStatusCall,
+  ): Promise<RequestStatusAnswer> {
     const { claims } = this.#sources;
     const own = this.#findHere(call);
     if (isLastWord(own.fate)) return own;
@@ -53,12 +55,15 @@
    * The fate from any VM. Rejects with a `StepError` when the VM that would
    * know cannot be asked; then the fate is not known.
    */
-  async findFate(
+  async findStatus(
     requestId: RequestId,
     options: { withAnswer: boolean } = { withAnswer: false },
-  ): Promise<FateAnswer> {
-    const call: FateCall = { requestId, withAnswer: options.withAnswer };
-    const own = await this.answerFate(call);
+  ): Promise<RequestStatusAnswer> {
+    const call: RequestStatusCall = {
+      requestId,
+      withAnswer: options.withAnswer,
+    };
+    const own = await this.handleStatusCall(call);
     const issuer = parseRequestId(requestId)?.vm;
     if (isLastWord(own.fate) || issuer === undefined) return own;
     if (this.#isSelf(issuer)) return own;
@@ -72,7 +77,7 @@
     );
   }
 
-  #findHere(call: FateCall): FateAnswer {
+  #findHere(call: RequestStatusCall): RequestStatusAnswer {
     const { fates, answers } = this.#sources;
     return {
       fate: fates.find(call.requestId),
@@ -91,7 +96,7 @@
  * telling "not run" from the first VM's record is then a lie, seen by a caller
  * that has the whole answer. An id for one submission is never given back.
  */
-function isLastWord(fate: FateRecord | undefined): boolean {
+function isLastWord(fate: RequestStatus | undefined): boolean {
   if (fate === undefined) return false;
   return fate.outcome !== "not_run" ||
     parseRequestId(fate.requestId)?.isSingle === true;
--- a/src/process/fate_store.ts
+++ b/src/process/request_status_store.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { RequestId } from "../ids.ts";
-import type { FateRecord, FateStep } from "../request/fate.ts";
+import type { RequestStatus, RequestStep } from "../request/request_status.ts";
 
 /** Steps kept for one request; the first ones tell the most. */
 const MAX_STEPS = 64;
@@ -15,19 +15,19 @@
 const STEP_BYTES = 96;
 
 /** How a request ended. */
-export interface FateEnd {
-  outcome: FateRecord["outcome"];
-  code: FateRecord["code"];
+export interface RequestEnd {
+  outcome: RequestStatus["outcome"];
+  code: RequestStatus["code"];
   tokens: number;
 }
 
 interface Entry {
-  record: FateRecord;
+  record: RequestStatus;
   bytes: number;
 }
 
 /** Fate records by request id; the oldest finished ones go first. */
-export class FateStore {
+export class RequestStatusStore {
   readonly #maxRecords: number;
   readonly #maxBytes: number;
   readonly #running = new Map<RequestId, Entry>();
@@ -41,8 +41,8 @@
 
   static create(
     options: { maxRecords?: number; maxBytes?: number } = {},
-  ): FateStore {
-    return new FateStore(
+  ): RequestStatusStore {
+    return new RequestStatusStore(
       options.maxRecords ?? DEFAULT_MAX_RECORDS,
       options.maxBytes ?? DEFAULT_MAX_BYTES,
     );
@@ -62,7 +62,7 @@
    * Begins a record. Where the id ran before (and did not run to an end), the
    * earlier steps are kept before the new ones.
    */
-  start(record: FateRecord): void {
+  start(record: RequestStatus): void {
     const earlier = this.find(record.requestId);
     this.#remove(record.requestId);
     const entry: Entry = {
@@ -81,7 +81,7 @@
   }
 
   /** Adds a step; an id that is not held is ignored. */
-  note(requestId: RequestId, step: FateStep): void {
+  note(requestId: RequestId, step: RequestStep): void {
     const entry = this.#running.get(requestId) ??
       this.#finished.get(requestId);
     if (entry === undefined) return;
@@ -90,7 +90,7 @@
   }
 
   /** Ends a record; it is kept until its room is needed. */
-  end(requestId: RequestId, end: FateEnd): void {
+  end(requestId: RequestId, end: RequestEnd): void {
     const entry = this.#running.get(requestId);
     if (entry === undefined) return;
     Object.assign(entry.record, end);
@@ -98,13 +98,13 @@
     this.#finished.set(requestId, entry);
   }
 
-  find(requestId: RequestId): FateRecord | undefined {
+  find(requestId: RequestId): RequestStatus | undefined {
     const entry = this.#running.get(requestId) ??
       this.#finished.get(requestId);
     return entry?.record;
   }
 
-  #addStep(entry: Entry, step: FateStep): void {
+  #addStep(entry: Entry, step: RequestStep): void {
     if (entry.record.steps.length >= MAX_STEPS) {
       entry.record.droppedSteps++;
       return;
--- a/src/process/retry_budget.ts
+++ b/src/process/retry_budget.ts
@@ -49,7 +49,7 @@
     return new WindowRetryBudget(options);
   }
 
-  noteFirstTry(pool: PoolName): void {
+  noteFirstAttempt(pool: PoolName): void {
     this.#getBucket(pool).firstTries++;
   }
 
--- a/src/process/routed_fleet.ts
+++ b/src/process/routed_fleet.ts
@@ -94,8 +94,9 @@
       takeWork: () => this.#owned.takeWork(),
       listOwners: () => this.#owned.listOwners(),
       onHeartbeat: (peer) => this.#notePeer(peer),
-      onSuspects: (entries, from) => options.quarantine.noteNews(from, entries),
-      listSuspects: () => this.#suspects.listPressing(),
+      onSuspects: (entries, from) =>
+        options.quarantine.mergeEntries(from, entries),
+      listSuspects: () => this.#suspects.listTopSuspects(),
       onAsk: (ask) => this.#owned.answerAsk(ask),
       onAnswer: (answer) => this.#owned.noteAnswer(answer),
     });
@@ -259,7 +260,7 @@
         fetchFromPeer: (vm) => calls.fetchPrefixes(vm),
         listReplicas: () => this.#listModelReplicas(),
         fetchFromReplica: fetchCachedParts,
-        isFirst: () => this.#isFirst("prefixes"),
+        isResponsible: () => this.#isFirst("prefixes"),
       },
     });
   }
--- a/src/process/routed_placement.ts
+++ b/src/process/routed_placement.ts
@@ -30,7 +30,7 @@
     getFleet()?.getShare(pool) ?? { role: "equal", others: [] };
   return PlacementState.create({
     clock,
-    onNews: () => getFleet()?.announceNews(),
+    onUpdate: () => getFleet()?.announceNews(),
     onEjected: (replica, forMs) => {
       log.warn("replica_ejected", { replica, for_ms: forMs });
     },
@@ -38,8 +38,8 @@
       log.info("replica_back_off", { replica, for_ms: Math.round(forMs) });
     },
     rateLimits: {
-      getShare,
-      countHeard: () => getFleet()?.listLive().length ?? 0,
+      getRole: getShare,
+      countReachable: () => getFleet()?.listLive().length ?? 0,
       onChange: (replica, requestsPerS) => {
         log.info("replica_rate_limit", {
           replica,
@@ -51,7 +51,7 @@
       vm: settings.vm,
       excess: settings.warmUpExcess,
       getWarmUp: (pool) => getSnapshot()?.pools.get(pool)?.warmUp,
-      getShare,
+      getRole: getShare,
     },
   });
 }
--- a/src/process/routed_services.ts
+++ b/src/process/routed_services.ts
@@ -7,9 +7,9 @@
 import { buildRoutedRefusal } from "../request/routed_handler.ts";
 import type { RoutedSnapshot } from "../version/routes.ts";
 import { AnswerStore } from "./answer_store.ts";
-import { CallerRunClaims } from "./caller_run_claims.ts";
+import { UncheckedExecutionClaims } from "./unchecked_execution_claims.ts";
 import type { LocalEnvironment } from "./environment.ts";
-import type { FateStore } from "./fate_store.ts";
+import type { RequestStatusStore } from "./request_status_store.ts";
 import {
   type AskOwner,
   type Locality,
@@ -21,7 +21,7 @@
 import { WindowRetryBudget } from "./retry_budget.ts";
 import type { Quarantine } from "./services.ts";
 import { UnlimitedSource } from "./unlimited_source.ts";
-import { UnreadableSignals } from "./unreadable_signals.ts";
+import { UnreadableHeaderLog } from "./unreadable_header_log.ts";
 
 /**
  * Part of the fleet's retries that VMs use: their shares are not exact, and a
@@ -43,7 +43,7 @@
   locality: Locality;
   placement: PlacementState;
   askOwner: AskOwner;
-  fates: FateStore;
+  fates: RequestStatusStore;
   metrics: ProcessMetrics;
   getSnapshot: () => RoutedSnapshot | undefined;
   isDraining: () => boolean;
@@ -65,13 +65,13 @@
       locality: parts.locality,
       dataCentre: parts.dataCentre,
       state: placement,
-      askOwner: parts.askOwner,
-      readArrived,
+      fetchPlacement: parts.askOwner,
+      waitForSocketReads: readArrived,
     }),
     limits: UnlimitedSource.create(),
-    claims: CallerRunClaims.create(random),
-    fates,
-    budget: WindowRetryBudget.create({
+    claims: UncheckedExecutionClaims.create(random),
+    requestStatuses: fates,
+    retryBudget: WindowRetryBudget.create({
       clock,
       getShare: () => BUDGET_SHARE * settings.retryShare,
       getReserve: () => {
@@ -80,13 +80,13 @@
       },
     }),
     quarantine: parts.quarantine,
-    unreadable: UnreadableSignals.create(parts.log),
+    unreadableHeaders: UnreadableHeaderLog.create(parts.log),
     metrics: parts.metrics,
     answers: AnswerStore.create({ maxBytes: 0 }),
     isDraining: parts.isDraining,
     buildRefusalOptions: buildRoutedRefusal,
     entries: parts.listEntries,
-    findFate: (requestId) => {
+    findStatus: (requestId) => {
       const fate = fates.find(requestId);
       return Promise.resolve({ fate, answer: undefined });
     },
--- a/src/process/routed_status.ts
+++ b/src/process/routed_status.ts
@@ -47,7 +47,7 @@
       configuration_version: heartbeat.configVersion,
       list_revision: heartbeat.listRevision,
     })),
-    quarantined: parts.quarantine.listHeld().map((request) => ({
+    quarantined: parts.quarantine.listQuarantined().map((request) => ({
       fingerprint: request.fingerprint,
       crashes: request.crashes,
       left_ms: Math.round(request.leftMs),
@@ -59,9 +59,9 @@
       state: replica.state,
       ejected: parts.placement.health.isEjected(replica.id),
       warming: parts.placement.slowStart.isWarming(replica),
-      back_off_ms: parts.placement.backOffs.getLeftMs(replica.id),
+      back_off_ms: parts.placement.backOffs.getRemainingMs(replica.id),
       requests_per_s: parts.placement.rateLimits.getLimit(replica.id),
-      slowness: parts.placement.speeds.getRatio(replica.id),
+      slowness: parts.placement.speeds.getSlowdown(replica.id),
       ...parts.placement.loads.getLoad(replica.id),
     })),
   };
@@ -95,7 +95,7 @@
   });
   metrics.addGauge("quarantined_requests", {
     help: "Requests kept from replicas, which crashed under them",
-    read: () => parts.quarantine.listHeld().length,
+    read: () => parts.quarantine.listQuarantined().length,
   });
   metrics.addGauge("suspect_requests", {
     help: "Requests under which a replica crashed, not answered since",
--- a/src/process/routed_vm.ts
+++ b/src/process/routed_vm.ts
@@ -17,12 +17,12 @@
   type CallerRequest,
 } from "../request/caller_request.ts";
 import type { CallerSink } from "../request/caller_sink.ts";
-import type { RoutedDialect } from "../request/routed_dialect.ts";
+import type { HeaderCodec } from "../request/header_codec.ts";
 import { RoutedHandler } from "../request/routed_handler.ts";
 import type { RoutedSnapshot } from "../version/routes.ts";
 import { type Clock, SystemClock } from "./clock.ts";
 import { type EntryAddress, listNearAddresses } from "./entry_addresses.ts";
-import { FateStore } from "./fate_store.ts";
+import { RequestStatusStore } from "./request_status_store.ts";
 import type { Log } from "./log.ts";
 import {
   Locality,
@@ -63,7 +63,7 @@
 export interface RoutedVmOptions {
   settings: RoutedSettings;
   log: Log;
-  dialect: RoutedDialect;
+  dialect: HeaderCodec;
   createStore: (transport: HttpUpstreamTransport) => PublishedStore;
   /** Asks a model replica which parts of prompts it has cached. */
   fetchCachedParts: (
@@ -79,7 +79,7 @@
 /** One entry VM. */
 export class RoutedVm extends CallerHandler {
   readonly metrics: ProcessMetrics;
-  readonly fates: FateStore;
+  readonly requestStatuses: RequestStatusStore;
   readonly replicas = ReplicaDirectory.create((replica) => {
     this.#log.info("replica_leaving", { replica });
     this.#fleet?.announceNews();
@@ -113,7 +113,7 @@
       this.#random.nextHex(INCARNATION_LENGTH),
     );
     this.metrics = ProcessMetrics.create(this.#clock);
-    this.fates = FateStore.create({ maxBytes: FATE_BYTES });
+    this.requestStatuses = RequestStatusStore.create({ maxBytes: FATE_BYTES });
     this.#upstreams = this.#createTransport((vm) => this.replicas.find(vm), {
       allowsUndelimited: true,
     });
@@ -144,7 +144,7 @@
         this.#fleet?.follower.buildHandedState(known) ?? {},
       listPrefixes: () => this.#placement.prefixes.listAll(),
       buildStatus: () => buildStatus(status),
-      findFate: (requestId) => this.fates.find(requestId),
+      findFate: (requestId) => this.requestStatuses.find(requestId),
     });
     addGauges(this.metrics, status);
   }
@@ -268,7 +268,7 @@
         placement: this.#placement,
         askOwner: (request) =>
           this.#fleet?.askOwner(request) ?? Promise.resolve(undefined),
-        fates: this.fates,
+        fates: this.requestStatuses,
         metrics: this.metrics,
         getSnapshot: () => this.getSnapshot(),
         isDraining: () => this.isDraining(),
@@ -276,7 +276,7 @@
         countVms: () => 1 + this.#listLive().length,
       }),
       getSnapshot: () => this.getSnapshot(),
-      dialect: this.#options.dialect,
+      headerCodec: this.#options.dialect,
     });
   }
 
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -17,12 +17,12 @@
 import type { ConfigurationSource } from "./configuration_source.ts";
 import { chooseEntries, type EntriesAnswer } from "./entries.ts";
 import type { Environment } from "./environment.ts";
-import { FateFinder } from "./fate_finder.ts";
-import { FateStore } from "./fate_store.ts";
+import { RequestStatusFinder } from "./request_status_finder.ts";
+import { RequestStatusStore } from "./request_status_store.ts";
 import { FleetMembership } from "./fleet_membership.ts";
 import { WorkspaceLimits } from "./limits/index.ts";
 import { LocalPeer } from "./local_peer.ts";
-import { OrderGiver } from "./orders/index.ts";
+import { OrderGiver } from "./engine_control/index.ts";
 import type { PeerApi, StatsAnswer } from "./peer_api.ts";
 import { Prober } from "./prober.ts";
 import {
@@ -32,8 +32,8 @@
 } from "./quarantine/index.ts";
 import { ProcessMetrics } from "./request_metrics.ts";
 import { WindowRetryBudget } from "./retry_budget.ts";
-import { UnreadableSignals } from "./unreadable_signals.ts";
-import { ProcessRunClaims } from "./run_claims.ts";
+import { UnreadableHeaderLog } from "./unreadable_header_log.ts";
+import { ProcessExecutionClaims } from "./execution_claims.ts";
 import {
   buildShardId,
   LeaseClient,
@@ -61,7 +61,7 @@
   entriesTtlMs?: number;
   retainedAnswersBytes?: number;
   /** Decisions that a bench switches off; all are on by default. */
-  decisions?: Partial<SchedulerDecisions>;
+  features?: Partial<SchedulerDecisions>;
   /** Requests that may wait in a shard; a test sets it low. */
   queueBound?: number;
 }
@@ -75,11 +75,11 @@
   readonly owners: ShardOwners;
   readonly leases: LeaseClient;
   readonly limits: WorkspaceLimits;
-  readonly claims: ProcessRunClaims;
-  readonly fates: FateStore;
+  readonly claims: ProcessExecutionClaims;
+  readonly fates: RequestStatusStore;
   readonly quarantine: RequestQuarantine;
   readonly #suspects: SuspectNews<VmId>;
-  readonly fateFinder: FateFinder;
+  readonly fateFinder: RequestStatusFinder;
   readonly metrics: ProcessMetrics;
   readonly #environment: Environment;
   readonly #entriesTtlMs: number | undefined;
@@ -117,7 +117,7 @@
       environment,
       membership,
       getSnapshot,
-      decisions: options.decisions,
+      features: options.features,
       queueBound: options.queueBound,
       findSummary: (shard) => this.prober.summaries.find(shard),
       onUpstreamLeaving: (vm, isLeaving, ageMs) =>
@@ -137,8 +137,8 @@
       getSnapshot,
       getLocal,
     });
-    this.claims = ProcessRunClaims.create(environment);
-    this.fates = FateStore.create();
+    this.claims = ProcessExecutionClaims.create(environment);
+    this.fates = RequestStatusStore.create();
     this.quarantine = RequestQuarantine.create({
       clock: environment.clock,
       log: environment.log,
@@ -155,7 +155,7 @@
         ? {}
         : { maxBytes: options.retainedAnswersBytes },
     );
-    this.fateFinder = FateFinder.create({
+    this.fateFinder = RequestStatusFinder.create({
       environment,
       fates: this.fates,
       answers: this.#answers,
@@ -176,7 +176,7 @@
       follower: this.follower,
       limits: this.limits,
       claims: this.claims,
-      fateFinder: this.fateFinder,
+      requestStatusFinder: this.fateFinder,
       quarantine: this.quarantine,
       collectStats: () => this.collectStats(),
     }));
@@ -278,18 +278,19 @@
       leases: this.leases,
       limits: this.limits,
       claims: this.claims,
-      fates: this.fates,
-      budget: WindowRetryBudget.create({
+      requestStatuses: this.fates,
+      retryBudget: WindowRetryBudget.create({
         clock: environment.clock,
         getShare: () => this.getSnapshot()?.policy.retryShare ?? NO_RETRIES,
       }),
       quarantine: this.quarantine,
-      unreadable: UnreadableSignals.create(environment.log),
+      unreadableHeaders: UnreadableHeaderLog.create(environment.log),
       metrics: this.metrics,
       answers: this.#answers,
       isDraining: () => this.#isDraining,
       entries: (query) => formatEntries(this.#chooseEntries(query)),
-      findFate: (requestId, find) => this.fateFinder.findFate(requestId, find),
+      findStatus: (requestId, find) =>
+        this.fateFinder.findStatus(requestId, find),
     };
   }
 
--- a/src/process/scheduler/admission.ts
+++ b/src/process/scheduler/admission.ts
@@ -28,9 +28,9 @@
 export interface ShardLoad {
   slots: number;
   /** Free slots now. */
-  room: number;
+  freeSlots: number;
   /** Slots in use by higher tiers. */
-  usedAbove: number;
+  usedByHigherTiers: number;
   /** Slots that the tier may hold at most. */
   tierCap: number;
   /** Slots of the tier in use. */
@@ -39,7 +39,7 @@
 }
 
 /** The request whose wait is asked for. */
-export interface WaitQuestion {
+export interface WaitQuery {
   rank: number;
   className: ClassName;
   workspace: WorkspaceName;
@@ -52,7 +52,7 @@
 /** The slots that the tier whose load it is can count on. */
 export function computeUsableSlots(load: ShardLoad): number {
   const least = Math.max(1, MIN_SLOT_SHARE * load.slots);
-  const left = Math.max(least, load.slots - load.usedAbove);
+  const left = Math.max(least, load.slots - load.usedByHigherTiers);
   return Math.min(left, Math.max(1, load.tierCap));
 }
 
@@ -61,7 +61,7 @@
  * divided by the slots that its tier can count on.
  */
 export function computeExpectedWait(
-  question: WaitQuestion,
+  question: WaitQuery,
   load: ShardLoad,
 ): number {
   let aheadMs = 0;
@@ -69,14 +69,14 @@
     if (queue.size === 0) continue;
     aheadMs += computeAhead(question, queue);
   }
-  const hasRoom = load.room > 0 && load.usedByTier < load.tierCap;
+  const hasRoom = load.freeSlots > 0 && load.usedByTier < load.tierCap;
   if (aheadMs === 0 && hasRoom) return 0;
   return (aheadMs + question.slotMs) / computeUsableSlots(load);
 }
 
 /** The slot time of `queue` that goes before the request. */
 function computeAhead(
-  question: WaitQuestion,
+  question: WaitQuery,
   queue: WaitingClass,
 ): number {
   if (queue.rank < question.rank) return queue.slotMs;
@@ -96,7 +96,7 @@
  * and never longer than for the whole class.
  */
 function computeAheadInClass(
-  question: WaitQuestion,
+  question: WaitQuery,
   queue: WaitingClass,
 ): number {
   const own = queue.backlogs.get(question.workspace);
@@ -112,11 +112,11 @@
  * that becomes free. If all were told the same time, they would all come at
  * once, and all but one would be refused again.
  */
-export class RetryTimes {
+export class RetrySchedule {
   readonly #bookedUntil = new Map<string, number>();
 
-  static create(): RetryTimes {
-    return new RetryTimes();
+  static create(): RetrySchedule {
+    return new RetrySchedule();
   }
 
   /**
@@ -125,9 +125,9 @@
    */
   take(
     key: string,
-    options: { now: number; waitMs: number; everyMs: number },
+    options: { now: number; waitMs: number; intervalMs: number },
   ): number {
-    const { now, waitMs, everyMs } = options;
+    const { now, waitMs, intervalMs: everyMs } = options;
     const booked = this.#bookedUntil.get(key) ?? 0;
     const at = Math.max(now + waitMs, booked + everyMs);
     const capped = Math.min(at, now + MAX_RETRY_MS);
--- a/src/process/scheduler/class_queue.ts
+++ b/src/process/scheduler/class_queue.ts
@@ -5,7 +5,7 @@
  */
 import type { ClassName, WorkspaceName } from "../../ids.ts";
 import type { RequestClass } from "../../version/records.ts";
-import { FairOrder, type FairOrderOptions } from "./fair_order.ts";
+import { FairQueue, type FairQueueOptions } from "./fair_queue.ts";
 import { Heap } from "./heap.ts";
 import type { QueueEntry } from "./waiter.ts";
 
@@ -32,9 +32,9 @@
   readonly rank: number;
   /** The class as the latest entry was admitted under it. */
   requestClass: RequestClass;
-  readonly lanes = new Map<string, FairOrder<T>>();
+  readonly lanes = new Map<string, FairQueue<T>>();
   readonly backlogs = new Map<WorkspaceName, WorkspaceBacklog>();
-  readonly #options: FairOrderOptions;
+  readonly #options: FairQueueOptions;
   readonly #byAge = Heap.create<T>(isOlder);
   #slotMs = 0;
   #weight = 0;
@@ -42,7 +42,7 @@
   #creditMs = 0;
   #creditAt = 0;
 
-  constructor(first: T, options: FairOrderOptions) {
+  constructor(first: T, options: FairQueueOptions) {
     this.className = first.className;
     this.rank = first.rank;
     this.requestClass = first.requestClass;
@@ -51,7 +51,7 @@
 
   static create<T extends QueueEntry>(
     first: T,
-    options: FairOrderOptions,
+    options: FairQueueOptions,
   ): ClassQueue<T> {
     return new ClassQueue(first, options);
   }
@@ -78,14 +78,14 @@
     }
     this.requestClass = entry.requestClass;
     this.#byAge.push(entry);
-    this.#getLane(entry.lane).add(entry, now);
+    this.#getLane(entry.modelKey).add(entry, now);
     this.#countIn(entry);
   }
 
   remove(entry: T, now: number): void {
     const wasHead = this.#byAge.getFirst() === entry;
     if (!this.#byAge.remove(entry)) return;
-    this.lanes.get(entry.lane)?.remove(entry);
+    this.lanes.get(entry.modelKey)?.remove(entry);
     this.#countOut(entry);
     if (wasHead) this.#headSince = now;
   }
@@ -161,10 +161,10 @@
     return this.#byAge.list();
   }
 
-  #getLane(name: string): FairOrder<T> {
+  #getLane(name: string): FairQueue<T> {
     let lane = this.lanes.get(name);
     if (lane === undefined) {
-      lane = FairOrder.create<T>(this.#options);
+      lane = FairQueue.create<T>(this.#options);
       this.lanes.set(name, lane);
     }
     return lane;
@@ -202,5 +202,5 @@
   if (left.arrivedAt !== right.arrivedAt) {
     return left.arrivedAt < right.arrivedAt;
   }
-  return left.order < right.order;
+  return left.sequence < right.sequence;
 }
--- a/src/process/scheduler/fair_order.ts
+++ b/src/process/scheduler/fair_queue.ts
@@ -31,14 +31,14 @@
 const MEAN_COST_WEIGHT = 0.05;
 
 /** Which of the two orders apply. */
-export interface FairOrderOptions {
+export interface FairQueueOptions {
   fairShare: boolean;
   deadlineOrder: boolean;
 }
 
 /** One class's requests for one model. */
-export class FairOrder<T extends QueueEntry> {
-  readonly #options: FairOrderOptions;
+export class FairQueue<T extends QueueEntry> {
+  readonly #options: FairQueueOptions;
   readonly #flows = new Map<WorkspaceName, Flow<T>>();
   /** Flows with entries, the least served first. */
   readonly #byServed = Heap.create<Flow<T>>(isServedLess);
@@ -55,7 +55,7 @@
   #finished = 0;
   #size = 0;
 
-  constructor(options: FairOrderOptions) {
+  constructor(options: FairQueueOptions) {
     this.#options = options;
     this.#inTurn = Heap.create<Flow<T>>((left, right) =>
       compareHeads(buildHeadKey(left), buildHeadKey(right)) < 0
@@ -63,9 +63,9 @@
   }
 
   static create<T extends QueueEntry>(
-    options: FairOrderOptions,
-  ): FairOrder<T> {
-    return new FairOrder(options);
+    options: FairQueueOptions,
+  ): FairQueue<T> {
+    return new FairQueue(options);
   }
 
   get size(): number {
--- a/src/process/scheduler/authority.ts
+++ b/src/process/scheduler/grace_period.ts
@@ -25,7 +25,7 @@
  * twice, which shows as replicas with more requests than slots. Until the
  * entry VMs have announced their running leases nothing is granted.
  */
-export class Authority {
+export class GracePeriod {
   #settledAt: number;
   #settlingSince: number;
   #seenAt: number;
@@ -38,8 +38,8 @@
     this.#seenAt = now;
   }
 
-  static create(now: number): Authority {
-    return new Authority(now);
+  static create(now: number): GracePeriod {
+    return new GracePeriod(now);
   }
 
   /** Until when nothing is granted. */
--- a/src/process/scheduler/granter.ts
+++ b/src/process/scheduler/granter.ts
@@ -7,14 +7,18 @@
 import type { Policy } from "../../version/records.ts";
 import type { Log } from "../log.ts";
 import type { SlotLease } from "../peer_api.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
-import type { LeaseAccounts } from "./lease_accounts.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
+import type { LeaseManager } from "./lease_manager.ts";
 import type { LeaseEntry } from "./lease_ledger.ts";
 import { chooseVictim, type PreemptionWish } from "./preemption.ts";
 import type { Replica } from "./replica.ts";
-import { canServe, chooseReplica, type ReplicaWish } from "./replica_choice.ts";
+import {
+  canServe,
+  chooseReplica,
+  type ReplicaRequirements,
+} from "./replica_choice.ts";
 import type { ReplicaSet } from "./replica_set.ts";
-import type { ShardWaits } from "./shard_waits.ts";
+import type { WaitEstimator } from "./wait_estimator.ts";
 import type { Waiter } from "./waiter.ts";
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
@@ -36,10 +40,10 @@
   log: Log;
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
-  accounts: LeaseAccounts;
+  accounts: LeaseManager;
   factory: WaiterFactory;
-  waits: ShardWaits;
-  decisions: SchedulerDecisions;
+  waits: WaitEstimator;
+  features: SchedulerFeatures;
   getPolicy: () => Policy | undefined;
   onGranted: (waiter: Waiter, lease: SlotLease) => void;
 }
@@ -69,7 +73,7 @@
         accepts: (entry) => {
           if (!this.#isLengthOpen(entry, slots)) return false;
           const wish = this.#buildWish(entry);
-          chosen = chooseReplica(replicas.list(), { wish, now });
+          chosen = chooseReplica(replicas.list(), { requirements: wish, now });
           return chosen !== undefined;
         },
       });
@@ -81,7 +85,7 @@
 
   /** Takes a slot back for the first waiter, where that pays. */
   preempt(now: number): void {
-    const { queue, accounts, decisions, getPolicy } = this.#options;
+    const { queue, accounts, features: decisions, getPolicy } = this.#options;
     const policy = getPolicy();
     if (policy === undefined || !decisions.preemption) return;
     const first = queue.findFirstByTier(now);
@@ -132,7 +136,7 @@
       canServe(replica, this.#buildWish(waiter));
   }
 
-  #buildWish(waiter: Waiter): ReplicaWish {
+  #buildWish(waiter: Waiter): ReplicaRequirements {
     const { call } = waiter;
     return {
       model: call.model,
@@ -140,15 +144,15 @@
       prefixes: call.prefixes,
       avoid: call.avoid,
       mayProbe: call.idempotent && !waiter.isLong,
-      prefixAffinity: this.#options.decisions.prefixAffinity,
+      prefixAffinity: this.#options.features.prefixAffinity,
     };
   }
 
   /** Whether the tier holds fewer slots than its cap. */
   #isTierOpen(rank: number): boolean {
-    const { accounts, waits, decisions } = this.#options;
+    const { accounts, waits, features: decisions } = this.#options;
     if (!decisions.crowding) return true;
-    return accounts.ledger.countRank(rank) < waits.getTierCap({ rank });
+    return accounts.ledger.countAtRank(rank) < waits.getTierCap({ rank });
   }
 
   /** Whether fewer slots than their share went before a higher tier. */
@@ -159,7 +163,7 @@
 
   /** Whether the request leaves the reserve that long work cannot take. */
   #isLengthOpen(waiter: Waiter, slots: number): boolean {
-    const { accounts, decisions } = this.#options;
+    const { accounts, features: decisions } = this.#options;
     if (!waiter.isLong || !decisions.crowding) return true;
     const reserve = Math.floor(SHORT_RESERVE * slots);
     return accounts.ledger.longCount < Math.max(1, slots - reserve);
--- a/src/process/scheduler/held_slot.ts
+++ b/src/process/scheduler/held_slot.ts
@@ -13,7 +13,7 @@
 } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 import type { UpstreamSignals } from "../../request/upstream_signals.ts";
-import type { LeaseNews, RateLimitNews, SlotLease } from "../peer_api.ts";
+import type { LeaseUpdate, RateLimitUpdate, SlotLease } from "../peer_api.ts";
 import { HeldLease, type LeaseProgress } from "../services.ts";
 
 /** What a held slot is made of. */
@@ -38,7 +38,7 @@
   readonly byOwner: boolean;
   readonly #options: HeldSlotOptions;
   readonly #preempted = new AbortController();
-  #state: LeaseNews["state"] = "running";
+  #state: LeaseUpdate["state"] = "running";
   #progress: LeaseProgress = {
     tokens: 0,
     firstTokenMs: undefined,
@@ -100,7 +100,7 @@
   }
 
   override release(
-    state: Exclude<LeaseNews["state"], "running">,
+    state: Exclude<LeaseUpdate["state"], "running">,
     progress: LeaseProgress,
   ): void {
     if (this.#state !== "running") return;
@@ -136,7 +136,7 @@
   }
 
   /** The news of the lease as it is now. */
-  buildNews(): LeaseNews {
+  buildNews(): LeaseUpdate {
     const { ticket, className, workspace, idempotent, promptTokens } =
       this.#options;
     return {
@@ -159,7 +159,7 @@
     return leftMs > 0 ? leftMs : undefined;
   }
 
-  #buildRateLimit(): RateLimitNews | undefined {
+  #buildRateLimit(): RateLimitUpdate | undefined {
     if (this.#rateLimit === undefined) return undefined;
     const { requestsPerS, at } = this.#rateLimit;
     const ageMs = this.#options.clock.now() - at;
--- a/src/process/scheduler/index.ts
+++ b/src/process/scheduler/index.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-export type { SchedulerDecisions } from "./decisions.ts";
+export type { SchedulerFeatures as SchedulerDecisions } from "./scheduler_features.ts";
 export { LeaseClient } from "./lease_client.ts";
 export type { LeaseClientOptions } from "./lease_client.ts";
 export { ShardOwner } from "./shard_owner.ts";
@@ -14,7 +14,7 @@
   buildShardId,
   buildShardKey,
   chooseShardOfUpstream,
+  listNonEmptyShards as listShards,
   listPoolShards,
-  listShards,
   listShardUpstreams,
 } from "./shards.ts";
--- a/src/process/scheduler/lease_client.ts
+++ b/src/process/scheduler/lease_client.ts
@@ -8,7 +8,7 @@
 import type { ShardId, TicketId, VmId } from "../../ids.ts";
 import { toId } from "../../ids.ts";
 import { RefusalError } from "../../outcome.ts";
-import type { FateStep } from "../../request/fate.ts";
+import type { RequestStep } from "../../request/request_status.ts";
 import type { UpstreamSignals } from "../../request/upstream_signals.ts";
 import { getClassRank, type Snapshot } from "../../version/records.ts";
 import type { Environment } from "../environment.ts";
@@ -23,7 +23,7 @@
 import { HeldSlot } from "./held_slot.ts";
 import { LeaseSyncs } from "./lease_syncs.ts";
 import { LocalSlots } from "./local_slots.ts";
-import { ANSWER_MARGIN_MS, HOLD_MS, OwnerCalls } from "./owner_calls.ts";
+import { ANSWER_MARGIN_MS, HOLD_MS, OwnerClient } from "./owner_client.ts";
 import { chooseShard } from "./shard_choice.ts";
 import {
   type AcquireOptions,
@@ -62,7 +62,7 @@
 export class LeaseClient extends LeaseSource {
   readonly #options: LeaseClientOptions;
   readonly #environment: Environment;
-  readonly #calls: OwnerCalls;
+  readonly #calls: OwnerClient;
   readonly #syncs: LeaseSyncs;
   readonly #local: LocalSlots;
   readonly #stopped = new AbortController();
@@ -75,7 +75,7 @@
     this.#environment = options.environment;
     const { vm, random } = options.environment;
     this.#prefix = `${vm}.${random.nextHex(8)}`;
-    this.#calls = OwnerCalls.create({
+    this.#calls = OwnerClient.create({
       environment: options.environment,
       membership: options.membership,
       getLocal: options.getLocal,
@@ -299,7 +299,7 @@
 
   #noteStep(
     wait: SlotWait,
-    step: FateStep["step"],
+    step: RequestStep["step"],
     fields: { detail: string },
   ): void {
     const ageMs = this.#environment.clock.now() - wait.request.arrivedAt;
--- a/src/process/scheduler/lease_entries.ts
+++ b/src/process/scheduler/lease_entries.ts
@@ -5,10 +5,10 @@
  * @module
  */
 import type { LeaseId, VmId } from "../../ids.ts";
-import type { LeaseNews } from "../peer_api.ts";
+import type { LeaseUpdate } from "../peer_api.ts";
 import type { LeaseEntry } from "./lease_ledger.ts";
 import type { Waiter } from "./waiter.ts";
-import { PROMPT_COST } from "./waiter_factory.ts";
+import { PROMPT_TOKEN_COST } from "./waiter_factory.ts";
 
 /** What every lease begins with: nothing is known of its answer yet. */
 const NO_PROGRESS = {
@@ -41,10 +41,10 @@
     workspace: waiter.workspace,
     rank: waiter.rank,
     weight: waiter.weight,
-    lane: waiter.lane,
+    modelKey: waiter.modelKey,
     idempotent: call.idempotent,
     isLong: waiter.isLong,
-    granted: true,
+    isOwnGrant: true,
     doneTokens: call.doneTokens,
     promptTokens: call.promptTokens,
     grantedAt: options.now,
@@ -59,7 +59,7 @@
 
 /** The entry of a lease that another owner or a local share granted. */
 export function buildAnnouncedEntry(
-  news: LeaseNews,
+  news: LeaseUpdate,
   options: {
     holder: VmId;
     rank: number;
@@ -78,10 +78,10 @@
     workspace: news.workspace,
     rank: options.rank,
     weight: options.weight,
-    lane: "",
+    modelKey: "",
     idempotent: news.idempotent,
     isLong: false,
-    granted: false,
+    isOwnGrant: false,
     doneTokens: 0,
     promptTokens: news.promptTokens,
     grantedAt: options.now,
@@ -99,12 +99,12 @@
  * tokens counts one for each call.
  */
 export function computeServedCost(entry: LeaseEntry): number {
-  if (entry.lane === "") return 1;
-  return Math.max(1, entry.tokens) + PROMPT_COST * entry.promptTokens;
+  if (entry.modelKey === "") return 1;
+  return Math.max(1, entry.tokens) + PROMPT_TOKEN_COST * entry.promptTokens;
 }
 
 /** The lease as its holder would announce it. */
-export function toNews(entry: LeaseEntry): LeaseNews {
+export function toNews(entry: LeaseEntry): LeaseUpdate {
   return {
     lease: entry.lease,
     ticket: entry.ticket,
--- a/src/process/scheduler/lease_ledger.ts
+++ b/src/process/scheduler/lease_ledger.ts
@@ -25,13 +25,13 @@
   readonly workspace: WorkspaceName;
   readonly rank: number;
   readonly weight: number;
-  readonly lane: string;
+  readonly modelKey: string;
   readonly idempotent: boolean;
   readonly isLong: boolean;
   /** It went before a higher tier that waited. */
   readonly isPromoted: boolean;
   /** False for a lease that another owner or a local share granted. */
-  readonly granted: boolean;
+  readonly isOwnGrant: boolean;
   /** Tokens that an earlier try had delivered. */
   readonly doneTokens: number;
   readonly promptTokens: number;
@@ -95,12 +95,12 @@
     return this.#inUse.get(upstream) ?? 0;
   }
 
-  countRank(rank: number): number {
+  countAtRank(rank: number): number {
     return this.#runningByRank.get(rank) ?? 0;
   }
 
   /** Running leases of tiers above `rank`. */
-  countAbove(rank: number): number {
+  countAboveRank(rank: number): number {
     let count = 0;
     for (const [other, running] of this.#runningByRank) {
       if (other < rank) count += running;
@@ -174,7 +174,7 @@
     const inUse = this.countInUse(entry.upstream) + change;
     if (inUse === 0) this.#inUse.delete(entry.upstream);
     else this.#inUse.set(entry.upstream, inUse);
-    const running = this.countRank(entry.rank) + change;
+    const running = this.countAtRank(entry.rank) + change;
     if (running === 0) this.#runningByRank.delete(entry.rank);
     else this.#runningByRank.set(entry.rank, running);
     if (entry.isLong) this.#long += change;
--- a/src/process/scheduler/lease_accounts.ts
+++ b/src/process/scheduler/lease_manager.ts
@@ -4,9 +4,9 @@
  * @module
  */
 import { type LeaseId, type ShardId, toId, type VmId } from "../../ids.ts";
-import type { LeaseNews, SlotLease } from "../peer_api.ts";
+import type { LeaseUpdate, SlotLease } from "../peer_api.ts";
 import type { Random } from "../random.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
 import { noteProbeDone, noteProbeFailed } from "./ejection.ts";
 import {
   buildAnnouncedEntry,
@@ -18,7 +18,7 @@
 import type { OutputLengths } from "./output_lengths.ts";
 import type { Replica } from "./replica.ts";
 import type { ReplicaSet } from "./replica_set.ts";
-import type { ServiceSpeed } from "./service_speed.ts";
+import type { ServiceTimes } from "./service_times.ts";
 import type { Waiter } from "./waiter.ts";
 import { UNKNOWN_RANK, type WaiterFactory } from "./waiter_factory.ts";
 
@@ -28,36 +28,36 @@
  * How long a lease stands before its first renewal, in milliseconds. Shorter,
  * so that a grant whose answer was lost gives its slot back soon.
  */
-export const FIRST_TTL_MS = 3_000;
+export const INITIAL_LEASE_TTL_MS = 3_000;
 
 /** What the accounts work on. */
-export interface LeaseAccountsOptions {
+export interface LeaseManagerOptions {
   shard: ShardId;
   random: Random;
   replicas: ReplicaSet;
   factory: WaiterFactory;
   lengths: OutputLengths;
-  speed: ServiceSpeed;
-  decisions: SchedulerDecisions;
+  speed: ServiceTimes;
+  features: SchedulerFeatures;
   /** Hears what a returned lease cost in the end, as fair sharing counts. */
   onClosed: (entry: LeaseEntry, cost: number) => void;
 }
 
 /** The leases of one shard. */
-export class LeaseAccounts {
+export class LeaseManager {
   readonly ledger = LeaseLedger.create();
-  readonly #options: LeaseAccountsOptions;
+  readonly #options: LeaseManagerOptions;
   readonly #prefix: string;
   readonly #preempted = new Set<LeaseEntry>();
   #counter = 0;
 
-  constructor(options: LeaseAccountsOptions) {
+  constructor(options: LeaseManagerOptions) {
     this.#options = options;
     this.#prefix = options.random.nextHex(8);
   }
 
-  static create(options: LeaseAccountsOptions): LeaseAccounts {
-    return new LeaseAccounts(options);
+  static create(options: LeaseManagerOptions): LeaseManager {
+    return new LeaseManager(options);
   }
 
   /** Opens a lease for `waiter` on `replica`. */
@@ -66,13 +66,13 @@
     options: { replica: Replica; chargedCost: number; now: number },
   ): SlotLease {
     const { replica, chargedCost, now } = options;
-    const { enginePriority } = this.#options.decisions;
+    const { enginePriority } = this.#options.features;
     const entry = buildGrantedEntry(waiter, {
       lease: this.#createLeaseId(),
       upstream: replica.id,
       chargedCost,
       priority: enginePriority ? waiter.rank : 0,
-      expiresAt: now + FIRST_TTL_MS,
+      expiresAt: now + INITIAL_LEASE_TTL_MS,
       now,
     });
     this.#open(entry, now);
@@ -88,7 +88,7 @@
       lease: entry.lease,
       shard: this.#options.shard,
       upstream: entry.upstream,
-      ttlMs: FIRST_TTL_MS,
+      ttlMs: INITIAL_LEASE_TTL_MS,
       priority: entry.priority,
       byOwner: true,
     };
@@ -96,7 +96,7 @@
 
   /** Takes in what `holder` says of a lease; a repeat does no harm. */
   applyNews(
-    news: LeaseNews,
+    news: LeaseUpdate,
     options: { holder: VmId; now: number },
   ): void {
     const { now } = options;
@@ -146,7 +146,7 @@
   }
 
   /** Every lease as its holder would announce it. */
-  listNews(): LeaseNews[] {
+  listNews(): LeaseUpdate[] {
     return [...this.ledger.list()].map(toNews);
   }
 
@@ -158,13 +158,13 @@
       {
         className: entry.className,
         workspace: entry.workspace,
-        model: entry.lane === "" ? undefined : entry.lane,
+        model: entry.modelKey === "" ? undefined : entry.modelKey,
         maxTokens: requestClass.maxOutputTokens,
         doneTokens: entry.doneTokens + entry.tokens,
       },
       { requestClass, now },
     );
-    if (entry.lane === "") return service.totalMs - (now - entry.grantedAt);
+    if (entry.modelKey === "") return service.totalMs - (now - entry.grantedAt);
     const isStarted = entry.firstTokenMs !== undefined;
     const left = length.tokens - entry.doneTokens - entry.tokens;
     if (left <= 0) return 0;
@@ -177,7 +177,7 @@
   }
 
   #addAnnounced(
-    news: LeaseNews,
+    news: LeaseUpdate,
     options: { holder: VmId; now: number },
   ): LeaseEntry {
     const { factory } = this.#options;
@@ -195,7 +195,7 @@
     return entry;
   }
 
-  #noteSignals(news: LeaseNews, now: number): void {
+  #noteSignals(news: LeaseUpdate, now: number): void {
     const { upstream, rateLimit, backOffMs = 0 } = news;
     const replica = this.#options.replicas.get(upstream);
     replica?.noteBackOff(now + backOffMs);
@@ -204,7 +204,7 @@
     replica?.rate.noteLimit(requestsPerS, now - ageMs);
   }
 
-  #noteProgress(entry: LeaseEntry, news: LeaseNews, now: number): void {
+  #noteProgress(entry: LeaseEntry, news: LeaseUpdate, now: number): void {
     const replica = this.#options.replicas.get(entry.upstream);
     const isNewer = news.tokens > entry.tokens;
     entry.tokens = Math.max(entry.tokens, news.tokens);
@@ -224,7 +224,7 @@
     replica?.limit.update(now);
   }
 
-  #settle(entry: LeaseEntry, news: LeaseNews, now: number): void {
+  #settle(entry: LeaseEntry, news: LeaseUpdate, now: number): void {
     const replica = this.#options.replicas.get(entry.upstream);
     if (news.state === "failed") replica?.latency.noteFailure();
     if (news.state === "done") {
@@ -232,15 +232,15 @@
       this.#recordFinished(entry, now);
     }
     this.#close(entry, now, { isFailed: news.state === "failed" });
-    if (!entry.granted) return;
+    if (!entry.isOwnGrant) return;
     const cost = news.state === "unused" ? 0 : computeServedCost(entry);
     this.#options.onClosed(entry, cost);
   }
 
   #recordFinished(entry: LeaseEntry, now: number): void {
-    if (!entry.granted) return;
+    if (!entry.isOwnGrant) return;
     const { lengths, speed } = this.#options;
-    if (entry.lane !== "") {
+    if (entry.modelKey !== "") {
       lengths.record(entry.className, {
         workspace: entry.workspace,
         tokens: entry.doneTokens + entry.tokens,
@@ -250,7 +250,7 @@
       className: entry.className,
       firstTokenMs: entry.firstTokenMs,
       betweenTokensMs: entry.betweenTokensMs,
-      heldMs: now - entry.grantedAt,
+      slotMs: now - entry.grantedAt,
       now,
     });
   }
--- a/src/process/scheduler/lease_sync.ts
+++ b/src/process/scheduler/lease_sync.ts
@@ -6,11 +6,11 @@
 import type { LeaseId, ShardId, TicketId, VmId } from "../../ids.ts";
 import type { CancelTimer } from "../clock.ts";
 import type { Environment } from "../environment.ts";
-import { waitAtMost } from "../member_wait.ts";
+import { withTimeout } from "../with_timeout.ts";
 import type { MembershipView } from "../membership_view.ts";
 import type { PeerApi, SyncAnswer, SyncCall } from "../peer_api.ts";
 import type { HeldSlot } from "./held_slot.ts";
-import { LEASE_TTL_MS } from "./lease_accounts.ts";
+import { LEASE_TTL_MS } from "./lease_manager.ts";
 import { buildShardKey } from "./shards.ts";
 
 /** How often news is looked for, in milliseconds. */
@@ -154,7 +154,7 @@
       ? getLocal()
       : environment.peers.getPeer(owner);
     try {
-      return await waitAtMost(
+      return await withTimeout(
         peer.syncLeases(call),
         SYNC_DEADLINE_MS,
         environment.clock,
--- a/src/process/scheduler/lease_syncs.ts
+++ b/src/process/scheduler/lease_syncs.ts
@@ -9,7 +9,7 @@
 import type { MembershipView } from "../membership_view.ts";
 import type { PeerApi } from "../peer_api.ts";
 import { LeaseSync, SYNC_EVERY_MS } from "./lease_sync.ts";
-import { buildShardKey, listShards } from "./shards.ts";
+import { buildShardKey, listNonEmptyShards } from "./shards.ts";
 
 /** A shard without leases is forgotten after this. */
 const IDLE_SHARD_MS = 60_000;
@@ -57,7 +57,7 @@
     const { membership, getSnapshot } = this.#options;
     for (const pool of getSnapshot()?.pools.values() ?? []) {
       const vms = membership.listUpstreams(pool.name);
-      for (const shard of listShards(pool, vms)) {
+      for (const shard of listNonEmptyShards(pool, vms)) {
         const owner = membership.findOwner(buildShardKey(shard));
         const before = this.#owners.get(shard);
         if (owner === undefined || owner === before) continue;
--- a/src/process/scheduler/load_polls.ts
+++ b/src/process/scheduler/load_poller.ts
@@ -6,14 +6,14 @@
 import type { LoadReport } from "../../connection/upstream_transport.ts";
 import type { VmId } from "../../ids.ts";
 import type { Environment } from "../environment.ts";
-import { waitAtMost } from "../member_wait.ts";
+import { withTimeout } from "../with_timeout.ts";
 import type { ShardOwner } from "./shard_owner.ts";
 
 /** How long a poll may take, in milliseconds. */
 const POLL_DEADLINE_MS = 900;
 
 /** What the polls need. */
-export interface LoadPollsOptions {
+export interface LoadPollerOptions {
   environment: Environment;
   /** Hears an upstream's own word, from each load report. */
   onUpstreamLeaving?:
@@ -22,15 +22,15 @@
 }
 
 /** Asks a shard's upstreams and tells the shard's owner. */
-export class LoadPolls {
-  readonly #options: LoadPollsOptions;
+export class LoadPoller {
+  readonly #options: LoadPollerOptions;
 
-  constructor(options: LoadPollsOptions) {
+  constructor(options: LoadPollerOptions) {
     this.#options = options;
   }
 
-  static create(options: LoadPollsOptions): LoadPolls {
-    return new LoadPolls(options);
+  static create(options: LoadPollerOptions): LoadPoller {
+    return new LoadPoller(options);
   }
 
   /** Asks all of `upstreams` once; resolves when each has answered or not. */
@@ -46,22 +46,22 @@
   async #fetchLoad(owner: ShardOwner, upstream: VmId): Promise<void> {
     const { clock, upstreams } = this.#options.environment;
     try {
-      const report = await waitAtMost(
+      const report = await withTimeout(
         upstreams.fetchLoad(upstream),
         POLL_DEADLINE_MS,
         clock,
       );
       if (report === undefined) {
-        owner.noteLoadMissing(upstream);
+        owner.noteMissedPoll(upstream);
         return;
       }
-      owner.noteLoad(upstream, report, 0);
+      owner.applyLoadReport(upstream, report, 0);
       const { leaving, ageMs } = report;
       this.#options.onUpstreamLeaving?.(upstream, leaving, ageMs);
       await this.#fetchCacheEvents(owner, { upstream, report });
     } catch {
       // The count of missed polls is what tells of a silent upstream.
-      owner.noteLoadMissing(upstream);
+      owner.noteMissedPoll(upstream);
     }
   }
 
@@ -73,11 +73,11 @@
     const known = owner.getCacheSequence(upstream);
     if (report.cacheSequence <= known) return;
     const { clock, upstreams } = this.#options.environment;
-    const events = await waitAtMost(
+    const events = await withTimeout(
       upstreams.fetchCacheEvents(upstream, known),
       POLL_DEADLINE_MS,
       clock,
     ).catch(() => undefined);
-    if (events !== undefined) owner.noteCacheEvents(upstream, events);
+    if (events !== undefined) owner.applyCacheEvents(upstream, events);
   }
 }
--- a/src/process/scheduler/local_slots.ts
+++ b/src/process/scheduler/local_slots.ts
@@ -10,8 +10,8 @@
 import type { Environment } from "../environment.ts";
 import type { MembershipView } from "../membership_view.ts";
 import type { SlotLease } from "../peer_api.ts";
-import { FIRST_TTL_MS } from "./lease_accounts.ts";
-import { LocalRoom } from "./local_room.ts";
+import { INITIAL_LEASE_TTL_MS } from "./lease_manager.ts";
+import { LocalUpstreamLimits } from "./local_upstream_limits.ts";
 import { computeLocalShare, LocalShare } from "./local_share.ts";
 import { listShardUpstreams } from "./shards.ts";
 
@@ -22,7 +22,7 @@
 }
 
 /** A request for a local slot. */
-export interface LocalWish {
+export interface LocalRequirements {
   shard: ShardId;
   pool: UpstreamPool;
   rank: number;
@@ -33,12 +33,12 @@
 export class LocalSlots {
   readonly #options: LocalSlotsOptions;
   readonly #shares = new Map<ShardId, LocalShare>();
-  readonly #room: LocalRoom;
+  readonly #room: LocalUpstreamLimits;
   #leases = 0;
 
   constructor(options: LocalSlotsOptions) {
     this.#options = options;
-    this.#room = LocalRoom.create(options.environment.clock);
+    this.#room = LocalUpstreamLimits.create(options.environment.clock);
   }
 
   static create(options: LocalSlotsOptions): LocalSlots {
@@ -57,17 +57,17 @@
   }
 
   /** Whether this VM has any share of the shard. */
-  hasShare(wish: LocalWish): boolean {
+  hasShare(wish: LocalRequirements): boolean {
     return this.#computeShare(wish) > 0;
   }
 
   /** A slot of the share; undefined where none is free. */
-  take(wish: LocalWish): SlotLease | undefined {
+  take(wish: LocalRequirements): SlotLease | undefined {
     const rateShare = 1 / this.#options.membership.listEntryVms().length;
     const upstreams = this.#listUpstreams(wish)
       .map((upstream) => upstream.id)
       .filter((upstream) => !wish.avoid.includes(upstream))
-      .filter((upstream) => this.#room.hasRoom(upstream, rateShare));
+      .filter((upstream) => this.#room.canSend(upstream, rateShare));
     const upstream = this.#getShare(wish.shard).take(wish.rank, {
       share: this.#computeShare(wish),
       upstreams,
@@ -80,7 +80,7 @@
       lease: toId(name),
       shard: wish.shard,
       upstream,
-      ttlMs: FIRST_TTL_MS,
+      ttlMs: INITIAL_LEASE_TTL_MS,
       priority: wish.rank,
       byOwner: false,
     };
@@ -106,7 +106,7 @@
     if (share.isIdle) this.#shares.delete(slot.shard);
   }
 
-  #computeShare(wish: LocalWish): number {
+  #computeShare(wish: LocalRequirements): number {
     return computeLocalShare({
       vm: this.#options.environment.vm,
       shard: wish.shard,
@@ -116,7 +116,7 @@
     });
   }
 
-  #listUpstreams(wish: LocalWish): ListedVm[] {
+  #listUpstreams(wish: LocalRequirements): ListedVm[] {
     const vms = this.#options.membership.listUpstreams(wish.pool.name);
     return listShardUpstreams(wish.shard, { pool: wish.pool, vms });
   }
--- a/src/process/scheduler/local_room.ts
+++ b/src/process/scheduler/local_upstream_limits.ts
@@ -15,7 +15,7 @@
 }
 
 /** Room by upstream. */
-export class LocalRoom {
+export class LocalUpstreamLimits {
   readonly #clock: Clock;
   /** Of upstreams that asked for anything. */
   readonly #asked = new Map<VmId, Asked>();
@@ -24,8 +24,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): LocalRoom {
-    return new LocalRoom(clock);
+  static create(clock: Clock): LocalUpstreamLimits {
+    return new LocalUpstreamLimits(clock);
   }
 
   /** Takes in what an answer of `upstream` asks. */
@@ -42,7 +42,7 @@
   }
 
   /** Whether a VM with `share` of each limit may send a request there now. */
-  hasRoom(upstream: VmId, share: number): boolean {
+  canSend(upstream: VmId, share: number): boolean {
     const asked = this.#asked.get(upstream);
     if (asked === undefined) return true;
     const now = this.#clock.now();
--- a/src/process/scheduler/owner_calls.ts
+++ b/src/process/scheduler/owner_client.ts
@@ -19,7 +19,7 @@
 const MAX_REDIRECTS = 1;
 
 /** What the calls need. */
-export interface OwnerCallsOptions {
+export interface OwnerClientOptions {
   environment: Environment;
   membership: MembershipView;
   getLocal: () => PeerApi;
@@ -46,16 +46,16 @@
  * comes after its call was given up is dropped here: the ticket's next call
  * gets the same lease again, and a ticket that is withdrawn gives it back.
  */
-export class OwnerCalls {
-  readonly #options: OwnerCallsOptions;
+export class OwnerClient {
+  readonly #options: OwnerClientOptions;
   readonly #open = new Set<OpenCall>();
 
-  constructor(options: OwnerCallsOptions) {
+  constructor(options: OwnerClientOptions) {
     this.#options = options;
   }
 
-  static create(options: OwnerCallsOptions): OwnerCalls {
-    return new OwnerCalls(options);
+  static create(options: OwnerClientOptions): OwnerClient {
+    return new OwnerClient(options);
   }
 
   findOwner(shard: ShardId): VmId | undefined {
--- a/src/process/scheduler/ticket_verdicts.ts
+++ b/src/process/scheduler/pending_refusals.ts
@@ -16,7 +16,7 @@
 }
 
 /** Keeps each answer until its ticket calls again. */
-export class TicketVerdicts {
+export class PendingRefusals {
   readonly #clock: Clock;
   readonly #verdicts = new Map<TicketId, Verdict>();
 
@@ -24,8 +24,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): TicketVerdicts {
-    return new TicketVerdicts(clock);
+  static create(clock: Clock): PendingRefusals {
+    return new PendingRefusals(clock);
   }
 
   /** Keeps the answer to a ticket whose next call has not come yet. */
--- a/src/process/scheduler/preemption.ts
+++ b/src/process/scheduler/preemption.ts
@@ -80,7 +80,7 @@
   wish: PreemptionWish,
   state: PreemptionState,
 ): boolean {
-  return lease.rank > wish.rank && lease.idempotent && lease.granted &&
+  return lease.rank > wish.rank && lease.idempotent && lease.isOwnGrant &&
     !lease.preempted && lease.doneTokens === 0 && state.isUseful(lease) &&
     state.computeRemainingMs(lease) >
       Math.max(MIN_REMAINING_MS, wish.returnMs);
--- a/src/process/scheduler/replica.ts
+++ b/src/process/scheduler/replica.ts
@@ -79,7 +79,7 @@
   }
 
   /** Free slots; never below 0. */
-  get room(): number {
+  get freeSlots(): number {
     return Math.max(0, this.limit.slots - this.inUse - this.#foreign);
   }
 
--- a/src/process/scheduler/replica_choice.ts
+++ b/src/process/scheduler/replica_choice.ts
@@ -17,7 +17,7 @@
 const MIN_OVERLAP = 0.2;
 
 /** What a request needs of a replica. */
-export interface ReplicaWish {
+export interface ReplicaRequirements {
   model: string | undefined;
   adapter: string | undefined;
   prefixes: readonly string[];
@@ -33,9 +33,9 @@
  */
 export function chooseReplica(
   replicas: readonly Replica[],
-  options: { wish: ReplicaWish; now: number },
+  options: { requirements: ReplicaRequirements; now: number },
 ): Replica | undefined {
-  const { wish, now } = options;
+  const { requirements: wish, now } = options;
   const fitting = replicas.filter((replica) => canServe(replica, wish));
   const taking = fitting.filter((replica) => replica.canTake(now));
   // Work that may not be repeated is no probe while anything in service could
@@ -46,32 +46,34 @@
     const probed = taking.find((replica) => canProbe(replica, now));
     if (probed !== undefined) return probed;
   }
-  const free = taking.filter((replica) => !replica.ejected && replica.room > 0);
+  const free = taking.filter((replica) =>
+    !replica.ejected && replica.freeSlots > 0
+  );
   if (free.length <= 1) return free[0];
   return findCached(free, wish) ?? findLeastUsed(free);
 }
 
 /** Whether any replica could ever serve the request, with room or not. */
-export function hasServing(
+export function hasCapableReplica(
   replicas: readonly Replica[],
-  wish: ReplicaWish,
+  wish: ReplicaRequirements,
 ): boolean {
   return replicas.some((replica) => canServe(replica, wish));
 }
 
 /** Whether a replica in service, or due for a probe, could serve it now. */
-export function hasServingNow(
+export function hasAvailableReplica(
   replicas: readonly Replica[],
-  options: { wish: ReplicaWish; now: number },
+  options: { requirements: ReplicaRequirements; now: number },
 ): boolean {
-  const { wish, now } = options;
+  const { requirements: wish, now } = options;
   return replicas.some((replica) =>
     canServe(replica, wish) && (!replica.ejected || canProbe(replica, now))
   );
 }
 
 /** Whether `replica` could serve the request, with room or not. */
-export function canServe(replica: Replica, wish: ReplicaWish): boolean {
+export function canServe(replica: Replica, wish: ReplicaRequirements): boolean {
   return !replica.leaving &&
     !wish.avoid.includes(replica.id) &&
     replica.hasModel(wish.model, wish.adapter);
@@ -79,7 +81,7 @@
 
 function findCached(
   free: readonly Replica[],
-  wish: ReplicaWish,
+  wish: ReplicaRequirements,
 ): Replica | undefined {
   if (!wish.prefixAffinity || wish.prefixes.length === 0) return undefined;
   const bound = LOAD_BOUND * computeMeanUse(free);
--- a/src/process/scheduler/replica_set.ts
+++ b/src/process/scheduler/replica_set.ts
@@ -6,21 +6,21 @@
 import type { VmId } from "../../ids.ts";
 import type { ListedVm } from "../../version/membership_list.ts";
 import type { UpstreamPool } from "../../version/records.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
 import { canProbe, type EjectionChange, updateEjections } from "./ejection.ts";
 import { Replica } from "./replica.ts";
 
 /** The replicas that may get work, by the list and their own word. */
 export class ReplicaSet {
-  readonly #decisions: SchedulerDecisions;
+  readonly #decisions: SchedulerFeatures;
   readonly #replicas = new Map<VmId, Replica>();
   #list: Replica[] = [];
 
-  constructor(decisions: SchedulerDecisions) {
+  constructor(decisions: SchedulerFeatures) {
     this.#decisions = decisions;
   }
 
-  static create(decisions: SchedulerDecisions): ReplicaSet {
+  static create(decisions: SchedulerFeatures): ReplicaSet {
     return new ReplicaSet(decisions);
   }
 
@@ -42,10 +42,10 @@
   }
 
   /** Free slots of the replicas in service. */
-  get room(): number {
+  get freeSlots(): number {
     let room = 0;
     for (const replica of this.#list) {
-      if (isInService(replica)) room += replica.room;
+      if (isInService(replica)) room += replica.freeSlots;
     }
     return room;
   }
@@ -54,7 +54,7 @@
   hasOpening(now: number): boolean {
     return this.#list.some((replica) =>
       !replica.leaving && replica.canTake(now) &&
-      (replica.ejected ? canProbe(replica, now) : replica.room > 0)
+      (replica.ejected ? canProbe(replica, now) : replica.freeSlots > 0)
     );
   }
 
--- a/src/process/scheduler/decisions.ts
+++ b/src/process/scheduler/scheduler_features.ts
@@ -5,7 +5,7 @@
  */
 
 /** Which decisions are on; all of them in production. */
-export interface SchedulerDecisions {
+export interface SchedulerFeatures {
   /** Strict order of tiers at granting and shedding. */
   tiers: boolean;
   /** Earliest feasible start first within a tier; else first come. */
@@ -38,7 +38,7 @@
 }
 
 /** Every decision on. */
-export const ALL_DECISIONS: Readonly<SchedulerDecisions> = Object.freeze({
+export const ALL_FEATURES: Readonly<SchedulerFeatures> = Object.freeze({
   tiers: true,
   deadlineOrder: true,
   fairShare: true,
@@ -57,8 +57,8 @@
 });
 
 /** All decisions, but for those that `changes` names. */
-export function buildDecisions(
-  changes: Partial<SchedulerDecisions> = {},
-): SchedulerDecisions {
-  return { ...ALL_DECISIONS, ...changes };
+export function buildFeatures(
+  changes: Partial<SchedulerFeatures> = {},
+): SchedulerFeatures {
+  return { ...ALL_FEATURES, ...changes };
 }
--- a/src/process/scheduler/service_speed.ts
+++ b/src/process/scheduler/service_times.ts
@@ -15,7 +15,7 @@
  * a ground for refusing: after a slow spell everything would be refused, no
  * sample would come, and the refusals would never end.
  */
-export const SPEED_VALID_MS = 15_000;
+export const MAX_SAMPLE_AGE_MS = 15_000;
 /** Part of the targets that is the guess before anything is known. */
 const COLD_SHARE = 0.5;
 
@@ -30,11 +30,11 @@
 }
 
 /** One finished lease. */
-export interface SpeedSample {
+export interface ServiceTimeSample {
   className: ClassName;
   firstTokenMs: number | undefined;
   betweenTokensMs: number | undefined;
-  heldMs: number;
+  slotMs: number;
   now: number;
 }
 
@@ -46,25 +46,25 @@
 }
 
 /** Learns times per class. */
-export class ServiceSpeed {
+export class ServiceTimes {
   readonly #speeds = new Map<ClassName, Speed>();
 
-  static create(): ServiceSpeed {
-    return new ServiceSpeed();
+  static create(): ServiceTimes {
+    return new ServiceTimes();
   }
 
-  record(sample: SpeedSample): void {
+  record(sample: ServiceTimeSample): void {
     const speed = this.#speeds.get(sample.className) ?? {
       samples: 0,
       sampledAt: 0,
       firstTokenMs: sample.firstTokenMs ?? 0,
       betweenTokensMs: sample.betweenTokensMs ?? 0,
-      heldMs: sample.heldMs,
+      heldMs: sample.slotMs,
     };
     this.#speeds.set(sample.className, speed);
     speed.samples++;
     speed.sampledAt = sample.now;
-    speed.heldMs = mergeSample(speed.heldMs, sample.heldMs);
+    speed.heldMs = mergeSample(speed.heldMs, sample.slotMs);
     speed.firstTokenMs = mergeSample(speed.firstTokenMs, sample.firstTokenMs);
     speed.betweenTokensMs = mergeSample(
       speed.betweenTokensMs,
@@ -84,7 +84,7 @@
     const totalMs = options.hasTokens
       ? speed.firstTokenMs + options.tokens * speed.betweenTokensMs
       : speed.heldMs;
-    const learnt = options.now - speed.sampledAt <= SPEED_VALID_MS;
+    const learnt = options.now - speed.sampledAt <= MAX_SAMPLE_AGE_MS;
     return { firstTokenMs: speed.firstTokenMs, totalMs, learnt };
   }
 }
--- a/src/process/scheduler/shard_admission.ts
+++ b/src/process/scheduler/shard_admission.ts
@@ -8,15 +8,15 @@
 import type { RefusalCode } from "../../outcome.ts";
 import type { Clock } from "../clock.ts";
 import type { AcquireAnswer, ShardSummary } from "../peer_api.ts";
-import { RetryTimes } from "./admission.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
+import { RetrySchedule } from "./admission.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
 import {
-  hasServing,
-  hasServingNow,
-  type ReplicaWish,
+  hasAvailableReplica,
+  hasCapableReplica,
+  type ReplicaRequirements,
 } from "./replica_choice.ts";
 import type { ReplicaSet } from "./replica_set.ts";
-import type { ShardWaits } from "./shard_waits.ts";
+import type { WaitEstimator } from "./wait_estimator.ts";
 import type { Waiter } from "./waiter.ts";
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
@@ -34,9 +34,9 @@
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
   /** How long the shard's requests will wait. */
-  waits: ShardWaits;
+  waits: WaitEstimator;
   factory: WaiterFactory;
-  decisions: SchedulerDecisions;
+  features: SchedulerFeatures;
   listOthers: () => ShardSummary[];
   queueBound?: number | undefined;
 }
@@ -44,7 +44,7 @@
 /** Admission to one shard's queue. */
 export class ShardAdmission {
   readonly #options: ShardAdmissionOptions;
-  readonly #retryTimes = RetryTimes.create();
+  readonly #retryTimes = RetrySchedule.create();
   /** Tickets that were passed on, which must not be passed on again. */
   readonly #passedOn = new Map<TicketId, number>();
 
@@ -61,16 +61,16 @@
     if (!this.hasServing(waiter)) return this.buildUnservedAnswer(waiter);
     // A resumed stream keeps its place in the system: to refuse it would
     // throw away what has been generated.
-    if (waiter.wasStarted) return undefined;
+    if (waiter.isResumed) return undefined;
     return this.#checkClassLimit(waiter) ?? this.#checkDeadline(waiter, now);
   }
 
   /** The waiter to shed; undefined while the queue is within its bound. */
   findVictim(): Waiter | undefined {
-    const { queue, queueBound, decisions } = this.#options;
+    const { queue, queueBound, features: decisions } = this.#options;
     if (!decisions.shedding) return undefined;
     if (queue.boundedSize <= (queueBound ?? QUEUE_BOUND)) return undefined;
-    return queue.findVictim();
+    return queue.findShedVictim();
   }
 
   /**
@@ -79,7 +79,7 @@
    * keep the others out.
    */
   findCrowding(waiter: Waiter): Waiter | undefined {
-    const { queue, decisions } = this.#options;
+    const { queue, features: decisions } = this.#options;
     if (!decisions.fairShare || !this.#isClassFull(waiter)) return undefined;
     const waiting = queue.getClass(waiter);
     const largest = waiting?.findLargestBacklog();
@@ -88,7 +88,7 @@
     const own = waiting.backlogs.get(waiter.workspace)?.count ?? 0;
     const isLess = (own + 1) / waiter.weight < most.count / most.weight;
     const latest = isLess ? queue.findLatestOf(waiter, largest) : undefined;
-    return latest?.wasStarted ? undefined : latest;
+    return latest?.isResumed ? undefined : latest;
   }
 
   /** The answer where the class's own queue is full. */
@@ -118,13 +118,19 @@
 
   /** Whether an upstream of the shard could serve the waiter. */
   hasServing(waiter: Waiter): boolean {
-    return hasServing(this.#options.replicas.list(), buildBareWish(waiter));
+    return hasCapableReplica(
+      this.#options.replicas.list(),
+      buildBareWish(waiter),
+    );
   }
 
   /** Whether one that is in service, or due for a probe, could serve it. */
   hasServingNow(waiter: Waiter, now: number): boolean {
     const wish = buildBareWish(waiter);
-    return hasServingNow(this.#options.replicas.list(), { wish, now });
+    return hasAvailableReplica(this.#options.replicas.list(), {
+      requirements: wish,
+      now,
+    });
   }
 
   /** The answer to a waiter that no upstream serves. */
@@ -160,17 +166,17 @@
   }
 
   #isClassFull(waiter: Waiter): boolean {
-    const { queue, decisions } = this.#options;
+    const { queue, features: decisions } = this.#options;
     if (!decisions.crowding) return false;
     const waiting = queue.getClass(waiter)?.size ?? 0;
     return waiting >= waiter.requestClass.queueLimit;
   }
 
   #checkDeadline(waiter: Waiter, now: number): AcquireAnswer | undefined {
-    const { decisions, factory } = this.#options;
+    const { features: decisions, factory } = this.#options;
     const { requestClass, call } = waiter;
     if (requestClass.lateIsUseful || !decisions.admission) return undefined;
-    if (waiter.giveUpAt <= now) return this.buildLateAnswer(waiter);
+    if (waiter.dropAt <= now) return this.buildLateAnswer(waiter);
     if (!factory.computeSize(call, { requestClass, now }).learnt) {
       return undefined;
     }
@@ -178,12 +184,12 @@
     // With no wait, starting is the only way to learn that it would have been
     // in time.
     if (waitMs === 0) return undefined;
-    if (now + waitMs <= waiter.giveUpAt) return undefined;
+    if (now + waitMs <= waiter.dropAt) return undefined;
     return this.#handOn(waiter) ?? this.buildLateAnswer(waiter);
   }
 
   #handOn(waiter: Waiter): AcquireAnswer | undefined {
-    const { decisions, listOthers, clock } = this.#options;
+    const { features: decisions, listOthers, clock } = this.#options;
     if (!decisions.passOn || this.#passedOn.has(waiter.ticket)) {
       return undefined;
     }
@@ -208,7 +214,7 @@
     const retryAfterMs = this.#retryTimes.take(waiter.className, {
       now: this.#options.clock.now(),
       waitMs,
-      everyMs: this.#options.waits.computeGrantInterval(waiter),
+      intervalMs: this.#options.waits.computeGrantInterval(waiter),
     });
     return {
       kind: "refused",
@@ -230,7 +236,7 @@
 };
 
 /** What a waiter needs of a replica, whichever of those it gets. */
-function buildBareWish(waiter: Waiter): ReplicaWish {
+function buildBareWish(waiter: Waiter): ReplicaRequirements {
   const { model, adapter, avoid } = waiter.call;
   return {
     model,
--- a/src/process/scheduler/shard_parts.ts
+++ b/src/process/scheduler/shard_components.ts
@@ -7,70 +7,70 @@
 import type { Snapshot } from "../../version/records.ts";
 import type { Environment } from "../environment.ts";
 import type { ShardSummary } from "../peer_api.ts";
-import { buildDecisions, type SchedulerDecisions } from "./decisions.ts";
+import { buildFeatures, type SchedulerFeatures } from "./scheduler_features.ts";
 import { Granter } from "./granter.ts";
-import { LeaseAccounts } from "./lease_accounts.ts";
+import { LeaseManager } from "./lease_manager.ts";
 import { OutputLengths } from "./output_lengths.ts";
 import { ReplicaSet } from "./replica_set.ts";
-import { ServiceSpeed } from "./service_speed.ts";
+import { ServiceTimes } from "./service_times.ts";
 import { ShardTickets } from "./shard_tickets.ts";
 import type { Waiter } from "./waiter.ts";
 import { WaiterFactory } from "./waiter_factory.ts";
 import { WaitingQueue } from "./waiting_queue.ts";
 
 /** What the parts are made of. */
-export interface ShardPartsOptions {
+export interface ShardComponentsOptions {
   environment: Environment;
   shard: ShardId;
   getSnapshot: () => Snapshot | undefined;
   /** What is known of the pool's other shards. */
-  listOthers?: () => ShardSummary[];
-  decisions?: Partial<SchedulerDecisions> | undefined;
+  listOtherShards?: () => ShardSummary[];
+  features?: Partial<SchedulerFeatures> | undefined;
   /** Requests that may wait beside the first of each class. */
   queueBound?: number | undefined;
 }
 
 /** One of each. */
-export interface ShardParts {
+export interface ShardComponents {
   replicas: ReplicaSet;
   queue: WaitingQueue<Waiter>;
-  accounts: LeaseAccounts;
+  accounts: LeaseManager;
   tickets: ShardTickets;
   granter: Granter;
 }
 
 /** Joins them; `onWaiting` hears that slots may be granted. */
-export function createShardParts(
-  options: ShardPartsOptions,
+export function createShardComponents(
+  options: ShardComponentsOptions,
   onWaiting: (now: number) => void,
-): ShardParts {
+): ShardComponents {
   const { environment, shard, getSnapshot } = options;
   const { clock, log, random } = environment;
-  const decisions = buildDecisions(options.decisions);
-  const lengths = OutputLengths.create(decisions.learntLengths);
-  const speed = ServiceSpeed.create();
+  const features = buildFeatures(options.features);
+  const lengths = OutputLengths.create(features.learntLengths);
+  const speed = ServiceTimes.create();
   const factory = WaiterFactory.create(getSnapshot, { lengths, speed });
-  const replicas = ReplicaSet.create(decisions);
-  const queue = WaitingQueue.create<Waiter>(decisions);
-  const accounts = LeaseAccounts.create({
+  const replicas = ReplicaSet.create(features);
+  const queue = WaitingQueue.create<Waiter>(features);
+  const accounts = LeaseManager.create({
     shard,
     random,
     replicas,
     factory,
     lengths,
     speed,
-    decisions,
+    features: features,
     onClosed: (entry, cost) => {
       queue.noteServed(entry, cost - entry.chargedCost);
       if (cost > 0) queue.noteFinished(entry, cost);
     },
   });
-  const shared = { queue, replicas, accounts, factory, decisions };
+  const shared = { queue, replicas, accounts, factory, features: features };
   const tickets = ShardTickets.create({
     ...shared,
     clock,
     getSnapshot,
-    listOthers: options.listOthers ?? (() => []),
+    listOthers: options.listOtherShards ?? (() => []),
     queueBound: options.queueBound,
     onWaiting,
   });
--- a/src/process/scheduler/shard_owner.ts
+++ b/src/process/scheduler/shard_owner.ts
@@ -20,11 +20,14 @@
   SyncAnswer,
   SyncCall,
 } from "../peer_api.ts";
-import { Authority } from "./authority.ts";
+import { GracePeriod } from "./grace_period.ts";
 import type { Granter } from "./granter.ts";
-import type { LeaseAccounts } from "./lease_accounts.ts";
+import type { LeaseManager } from "./lease_manager.ts";
 import type { ReplicaSet } from "./replica_set.ts";
-import { createShardParts, type ShardPartsOptions } from "./shard_parts.ts";
+import {
+  createShardComponents,
+  type ShardComponentsOptions,
+} from "./shard_components.ts";
 import type { ShardTickets } from "./shard_tickets.ts";
 import type { Waiter } from "./waiter.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
@@ -34,13 +37,13 @@
 const UPKEEP_TICKS = 10;
 
 /** What an owner is made of. */
-export interface ShardOwnerOptions extends ShardPartsOptions {
+export interface ShardOwnerOptions extends ShardComponentsOptions {
   /** The pool as it is when the owner begins. */
   pool: UpstreamPool;
   /** The shard's upstreams that may get new work. */
   listUpstreams: () => ListedVm[];
   /** The entry VMs whose announcements end the settling time early. */
-  listHolders?: () => VmId[];
+  listLeaseHolders?: () => VmId[];
 }
 
 /** One shard's owner. Every method may be called late or twice. */
@@ -50,8 +53,8 @@
   readonly #environment: Environment;
   readonly #replicas: ReplicaSet;
   readonly #queue: WaitingQueue<Waiter>;
-  readonly #accounts: LeaseAccounts;
-  readonly #authority: Authority;
+  readonly #accounts: LeaseManager;
+  readonly #authority: GracePeriod;
   readonly #tickets: ShardTickets;
   readonly #granter: Granter;
   #cancelTick: CancelTimer | undefined;
@@ -63,8 +66,8 @@
     this.shard = options.shard;
     this.#options = options;
     this.#environment = options.environment;
-    this.#authority = Authority.create(this.#getNow());
-    const parts = createShardParts(options, (now) => this.#grantAll(now));
+    this.#authority = GracePeriod.create(this.#getNow());
+    const parts = createShardComponents(options, (now) => this.#grantAll(now));
     this.#replicas = parts.replicas;
     this.#queue = parts.queue;
     this.#accounts = parts.accounts;
@@ -79,7 +82,7 @@
   }
 
   /** Whether grants are made, and not held back after a takeover or pause. */
-  get isSettled(): boolean {
+  get canGrant(): boolean {
     return this.#authority.isSettled(this.#getNow());
   }
 
@@ -121,7 +124,11 @@
   }
 
   /** Takes in a load report that was received `receivedAgeMs` ago. */
-  noteLoad(upstream: VmId, report: LoadReport, receivedAgeMs: number): void {
+  applyLoadReport(
+    upstream: VmId,
+    report: LoadReport,
+    receivedAgeMs: number,
+  ): void {
     const now = this.#noteAlive();
     const replica = this.#replicas.get(upstream);
     replica?.noteReport(report, { ageMs: report.ageMs + receivedAgeMs, now });
@@ -129,12 +136,12 @@
   }
 
   /** Notes that `upstream` did not answer a poll. */
-  noteLoadMissing(upstream: VmId): void {
+  noteMissedPoll(upstream: VmId): void {
     const replica = this.#replicas.get(upstream);
     if (replica !== undefined) replica.missedPolls++;
   }
 
-  noteCacheEvents(upstream: VmId, events: readonly CacheEvent[]): void {
+  applyCacheEvents(upstream: VmId, events: readonly CacheEvent[]): void {
     this.#replicas.get(upstream)?.cache.applyEvents(events);
   }
 
@@ -151,7 +158,7 @@
     return {
       shard: this.shard,
       owner: this.#environment.vm,
-      room: settled ? this.#replicas.room : 0,
+      room: settled ? this.#replicas.freeSlots : 0,
       slots: this.#replicas.slots,
       waitingByRank: this.#queue.countByRank(),
       lowestRank: Math.max(
@@ -270,7 +277,7 @@
   }
 
   #endSettlingEarly(now: number): void {
-    const holders = this.#options.listHolders?.() ?? [];
+    const holders = this.#options.listLeaseHolders?.() ?? [];
     this.#authority.endEarly(holders, now);
   }
 
--- a/src/process/scheduler/shard_owners.ts
+++ b/src/process/scheduler/shard_owners.ts
@@ -8,7 +8,7 @@
 import type { ListedVm } from "../../version/membership_list.ts";
 import type { Snapshot, UpstreamPool } from "../../version/records.ts";
 import type { Environment } from "../environment.ts";
-import { waitAtMost } from "../member_wait.ts";
+import { withTimeout } from "../with_timeout.ts";
 import type { MembershipView } from "../membership_view.ts";
 import type {
   AcquireAnswer,
@@ -18,13 +18,13 @@
   SyncAnswer,
   SyncCall,
 } from "../peer_api.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
-import { LoadPolls } from "./load_polls.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
+import { LoadPoller } from "./load_poller.ts";
 import { ShardOwner } from "./shard_owner.ts";
 import {
   buildShardKey,
+  listNonEmptyShards,
   listPoolShards,
-  listShards,
   listShardUpstreams,
   parseShardId,
 } from "./shards.ts";
@@ -47,7 +47,7 @@
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
-  decisions?: Partial<SchedulerDecisions> | undefined;
+  features?: Partial<SchedulerFeatures> | undefined;
   /** Requests that may wait in a shard beside the first of each class. */
   queueBound?: number | undefined;
   /** What the owner of a shard last let the fleet know of it. */
@@ -64,7 +64,7 @@
 export class ShardOwners {
   readonly #options: ShardOwnersOptions;
   readonly #environment: Environment;
-  readonly #polls: LoadPolls;
+  readonly #polls: LoadPoller;
   readonly #owners = new Map<ShardId, ShardOwner>();
   readonly #stopped = new AbortController();
   readonly #createdAt: number;
@@ -75,7 +75,7 @@
   constructor(options: ShardOwnersOptions) {
     this.#options = options;
     this.#environment = options.environment;
-    this.#polls = LoadPolls.create(options);
+    this.#polls = LoadPoller.create(options);
     this.#createdAt = options.environment.clock.now();
     options.membership.onChange(() => this.#updateOwners());
   }
@@ -145,17 +145,18 @@
   }
 
   #createOwner(shard: ShardId, pool: UpstreamPool): ShardOwner {
-    const { environment, getSnapshot, decisions, queueBound } = this.#options;
+    const { environment, getSnapshot, features: decisions, queueBound } =
+      this.#options;
     return ShardOwner.create({
       environment,
       shard,
       pool,
       getSnapshot,
-      decisions,
+      features: decisions,
       queueBound,
       listUpstreams: () => this.#listUpstreams(shard, pool),
-      listHolders: () => this.#listHolders(),
-      listOthers: () => this.#listOthers(shard, pool),
+      listLeaseHolders: () => this.#listHolders(),
+      listOtherShards: () => this.#listOthers(shard, pool),
     });
   }
 
@@ -255,7 +256,7 @@
     const { peers, clock, log } = this.#environment;
     try {
       const answer = peers.getPeer(next).handOver(call);
-      return await waitAtMost(answer, HAND_OVER_DEADLINE_MS, clock) ?? false;
+      return await withTimeout(answer, HAND_OVER_DEADLINE_MS, clock) ?? false;
     } catch (thrown) {
       const error = toError(thrown).message;
       log.warn("hand_over_failed", { shard: call.shard, peer: next, error });
@@ -281,7 +282,7 @@
     const pools = this.#options.getSnapshot()?.pools.values() ?? [];
     for (const pool of pools) {
       const vms = this.#options.membership.listUpstreams(pool.name);
-      for (const shard of listShards(pool, vms)) this.#getOwner(shard);
+      for (const shard of listNonEmptyShards(pool, vms)) this.#getOwner(shard);
     }
   }
 
--- a/src/process/scheduler/shard_tickets.ts
+++ b/src/process/scheduler/shard_tickets.ts
@@ -12,13 +12,13 @@
   ShardSummary,
   SlotLease,
 } from "../peer_api.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
-import type { LeaseAccounts } from "./lease_accounts.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
+import type { LeaseManager } from "./lease_manager.ts";
 import type { ReplicaSet } from "./replica_set.ts";
 import { ShardAdmission } from "./shard_admission.ts";
-import { ShardWaits } from "./shard_waits.ts";
+import { WaitEstimator } from "./wait_estimator.ts";
 import { TicketCalls } from "./ticket_calls.ts";
-import { TicketVerdicts } from "./ticket_verdicts.ts";
+import { PendingRefusals } from "./pending_refusals.ts";
 import type { Waiter } from "./waiter.ts";
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
@@ -31,9 +31,9 @@
   clock: Clock;
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
-  accounts: LeaseAccounts;
+  accounts: LeaseManager;
   factory: WaiterFactory;
-  decisions: SchedulerDecisions;
+  features: SchedulerFeatures;
   getSnapshot: () => Snapshot | undefined;
   listOthers: () => ShardSummary[];
   queueBound: number | undefined;
@@ -44,17 +44,17 @@
 /** Every ticket that the shard's owner knows of. */
 export class ShardTickets {
   /** How long the waiting tickets will wait. */
-  readonly waits: ShardWaits;
+  readonly waits: WaitEstimator;
   readonly #options: ShardTicketsOptions;
-  readonly #verdicts: TicketVerdicts;
+  readonly #verdicts: PendingRefusals;
   readonly #admission: ShardAdmission;
   readonly #calls: TicketCalls;
 
   constructor(options: ShardTicketsOptions) {
     const { clock, queue, accounts } = options;
     this.#options = options;
-    this.waits = ShardWaits.create({ ...options, ledger: accounts.ledger });
-    this.#verdicts = TicketVerdicts.create(clock);
+    this.waits = WaitEstimator.create({ ...options, ledger: accounts.ledger });
+    this.#verdicts = PendingRefusals.create(clock);
     this.#admission = ShardAdmission.create({ ...options, waits: this.waits });
     this.#calls = TicketCalls.create({
       clock,
@@ -118,7 +118,7 @@
 
   /** Refuses the waiters whose answer would now be useless. */
   refuseHopeless(now: number): void {
-    for (const waiter of this.#options.queue.takeHopeless(now)) {
+    for (const waiter of this.#options.queue.takeExpired(now)) {
       this.#calls.settle(waiter, this.#admission.buildLateAnswer(waiter));
     }
   }
--- a/src/process/scheduler/shards.ts
+++ b/src/process/scheduler/shards.ts
@@ -92,7 +92,7 @@
 }
 
 /** The shards of `pool` that hold an upstream of `vms`. */
-export function listShards(
+export function listNonEmptyShards(
   pool: UpstreamPool,
   vms: readonly ListedVm[],
 ): ShardId[] {
--- a/src/process/scheduler/shed_victim.ts
+++ b/src/process/scheduler/shed_victim.ts
@@ -22,7 +22,7 @@
     if (entry === undefined) continue;
     const entryIsHead = queue.getOldest() === entry;
     const better = victim === undefined || (isHead && !entryIsHead) ||
-      (isHead === entryIsHead && entry.order > victim.order);
+      (isHead === entryIsHead && entry.sequence > victim.sequence);
     if (!better) continue;
     victim = entry;
     isHead = entryIsHead;
@@ -44,6 +44,6 @@
 }
 
 function isBetterVictim(entry: QueueEntry, than: QueueEntry): boolean {
-  if (entry.wasStarted !== than.wasStarted) return than.wasStarted;
-  return entry.order > than.order;
+  if (entry.isResumed !== than.isResumed) return than.isResumed;
+  return entry.sequence > than.sequence;
 }
--- a/src/process/scheduler/slot_wait.ts
+++ b/src/process/scheduler/slot_wait.ts
@@ -5,10 +5,10 @@
  */
 import type { ShardId, TicketId } from "../../ids.ts";
 import type { Refusal } from "../../outcome.ts";
-import type { FateStep } from "../../request/fate.ts";
+import type { RequestStep } from "../../request/request_status.ts";
 import type { UpstreamPool } from "../../version/records.ts";
 import type { LeaseRequest } from "../services.ts";
-import type { LocalWish } from "./local_slots.ts";
+import type { LocalRequirements } from "./local_slots.ts";
 
 const NO_UPSTREAM_RETRY_MS = 5_000;
 const UNREACHABLE_RETRY_MS = 1_000;
@@ -16,7 +16,7 @@
 /** How a wait is given up, and who hears of its steps. */
 export interface AcquireOptions {
   signal: AbortSignal;
-  onStep: (step: FateStep) => void;
+  onStep: (step: RequestStep) => void;
 }
 
 /** One request on its way to a slot. */
@@ -35,7 +35,7 @@
 }
 
 /** What the wait asks of this VM's own share. */
-export function buildLocalWish(wait: SlotWait): LocalWish {
+export function buildLocalWish(wait: SlotWait): LocalRequirements {
   const { shard, pool, rank, request } = wait;
   return { shard, pool, rank, avoid: request.avoid };
 }
--- a/src/process/scheduler/ticket_calls.ts
+++ b/src/process/scheduler/ticket_calls.ts
@@ -5,8 +5,8 @@
  */
 import type { Clock } from "../clock.ts";
 import type { AcquireAnswer, SlotLease } from "../peer_api.ts";
-import type { ShardWaits } from "./shard_waits.ts";
-import type { TicketVerdicts } from "./ticket_verdicts.ts";
+import type { WaitEstimator } from "./wait_estimator.ts";
+import type { PendingRefusals } from "./pending_refusals.ts";
 import type { Waiter } from "./waiter.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
@@ -17,8 +17,8 @@
 export interface TicketCallsOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
-  waits: ShardWaits;
-  verdicts: TicketVerdicts;
+  waits: WaitEstimator;
+  verdicts: PendingRefusals;
 }
 
 /** Answers the calls of one shard's tickets. */
--- a/src/process/scheduler/shard_waits.ts
+++ b/src/process/scheduler/wait_estimator.ts
@@ -8,9 +8,9 @@
   computeExpectedWait,
   computeUsableSlots,
   type ShardLoad,
-  type WaitQuestion,
+  type WaitQuery,
 } from "./admission.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
 import type { LeaseLedger } from "./lease_ledger.ts";
 import type { ReplicaSet } from "./replica_set.ts";
 import type { Waiter } from "./waiter.ts";
@@ -18,25 +18,25 @@
 import type { WaitingQueue } from "./waiting_queue.ts";
 
 /** What the waits of a shard are worked out from. */
-export interface ShardWaitsOptions {
+export interface WaitEstimatorOptions {
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
   ledger: LeaseLedger;
   factory: WaiterFactory;
-  decisions: SchedulerDecisions;
+  features: SchedulerFeatures;
   getSnapshot: () => Snapshot | undefined;
 }
 
 /** Expected waits in one shard, in milliseconds. */
-export class ShardWaits {
-  readonly #options: ShardWaitsOptions;
+export class WaitEstimator {
+  readonly #options: WaitEstimatorOptions;
 
-  constructor(options: ShardWaitsOptions) {
+  constructor(options: WaitEstimatorOptions) {
     this.#options = options;
   }
 
-  static create(options: ShardWaitsOptions): ShardWaits {
-    return new ShardWaits(options);
+  static create(options: WaitEstimatorOptions): WaitEstimator {
+    return new WaitEstimator(options);
   }
 
   /** When a new request of the class could be served within its targets. */
@@ -61,7 +61,7 @@
   /** The expected wait of a new request of the lowest tier. */
   computeLowestWait(): number {
     const { queue, factory, replicas } = this.#options;
-    if (replicas.room > 0 && queue.size === 0) return 0;
+    if (replicas.freeSlots > 0 && queue.size === 0) return 0;
     let ahead = 0;
     for (const waiting of queue.listClasses()) ahead += waiting.slotMs;
     return Math.round(
@@ -92,7 +92,7 @@
 
   /** The slots that the waiter's tier may hold at once; at least one. */
   getTierCap(waiter: { rank: number }): number {
-    const { replicas, decisions } = this.#options;
+    const { replicas, features: decisions } = this.#options;
     const slots = replicas.slots;
     if (!decisions.crowding) return slots;
     return Math.max(1, Math.floor(this.#getSlotShare(waiter.rank) * slots));
@@ -102,10 +102,10 @@
     const { queue, replicas, ledger } = this.#options;
     return {
       slots: replicas.slots,
-      room: replicas.room,
-      usedAbove: ledger.countAbove(rank),
+      freeSlots: replicas.freeSlots,
+      usedByHigherTiers: ledger.countAboveRank(rank),
       tierCap: this.getTierCap({ rank }),
-      usedByTier: ledger.countRank(rank),
+      usedByTier: ledger.countAtRank(rank),
       classes: queue.listClasses(),
     };
   }
@@ -117,7 +117,7 @@
   }
 }
 
-function buildWaitQuestion(waiter: Waiter): WaitQuestion {
+function buildWaitQuestion(waiter: Waiter): WaitQuery {
   return {
     rank: waiter.rank,
     className: waiter.className,
--- a/src/process/scheduler/waiter.ts
+++ b/src/process/scheduler/waiter.ts
@@ -13,20 +13,20 @@
   readonly className: ClassName;
   readonly workspace: WorkspaceName;
   /** Requests that need the same model stand in one lane. */
-  readonly lane: string;
+  readonly modelKey: string;
   readonly rank: number;
   readonly requestClass: RequestClass;
   /** The workspace's weight against others of the class. */
   readonly weight: number;
   readonly arrivedAt: number;
   /** Counts entries: breaks ties by order of coming. */
-  readonly order: number;
+  readonly sequence: number;
   /** Granted later than this, it misses a target. */
   readonly startBy: number;
   /** Past this an answer is useless; infinite where late is useful. */
-  readonly giveUpAt: number;
+  readonly dropAt: number;
   /** A broken or preempted stream that is to be resumed. */
-  readonly wasStarted: boolean;
+  readonly isResumed: boolean;
   /** Expected tokens, the unit of fair sharing. */
   readonly cost: number;
   /** Whether `cost` rests on finished requests and not on a cap. */
--- a/src/process/scheduler/waiter_factory.ts
+++ b/src/process/scheduler/waiter_factory.ts
@@ -7,13 +7,13 @@
 import type { RequestClass, Snapshot } from "../../version/records.ts";
 import type { AcquireCall } from "../peer_api.ts";
 import type { LengthGuess, OutputLengths } from "./output_lengths.ts";
-import type { ServiceGuess, ServiceSpeed } from "./service_speed.ts";
+import type { ServiceGuess, ServiceTimes } from "./service_times.ts";
 import type { Waiter } from "./waiter.ts";
 
 /** Rank of a class that this VM's configuration does not have yet. */
 export const UNKNOWN_RANK = 1_000;
 /** Price of reading a prompt token against generating one. */
-export const PROMPT_COST = 0.1;
+export const PROMPT_TOKEN_COST = 0.1;
 /** Times the mean slot time of the shortest class that makes it a long one. */
 const LONG_RATIO = 4;
 /** How long a class counts as present after its last request. */
@@ -43,14 +43,14 @@
 export class WaiterFactory {
   readonly #getSnapshot: () => Snapshot | undefined;
   readonly #lengths: OutputLengths;
-  readonly #speed: ServiceSpeed;
+  readonly #speed: ServiceTimes;
   #order = 0;
   #meanSlotMs: number | undefined;
   readonly #classes = new Map<ClassName, { slotMs: number; at: number }>();
 
   constructor(
     getSnapshot: () => Snapshot | undefined,
-    learnt: { lengths: OutputLengths; speed: ServiceSpeed },
+    learnt: { lengths: OutputLengths; speed: ServiceTimes },
   ) {
     this.#getSnapshot = getSnapshot;
     this.#lengths = learnt.lengths;
@@ -59,7 +59,7 @@
 
   static create(
     getSnapshot: () => Snapshot | undefined,
-    learnt: { lengths: OutputLengths; speed: ServiceSpeed },
+    learnt: { lengths: OutputLengths; speed: ServiceTimes },
   ): WaiterFactory {
     return new WaiterFactory(getSnapshot, learnt);
   }
@@ -120,17 +120,17 @@
       ticket: call.ticket,
       className: call.className,
       workspace: call.workspace,
-      lane: call.model ?? "",
+      modelKey: call.model ?? "",
       rank: this.getRank(requestClass),
       requestClass,
       weight: this.getWeight(call.workspace),
       arrivedAt,
-      order: this.#order++,
+      sequence: this.#order++,
       startBy,
-      giveUpAt: wasStarted || requestClass.lateIsUseful
+      dropAt: wasStarted || requestClass.lateIsUseful
         ? Infinity
         : computeGiveUp(call, { requestClass, size, now, startBy }),
-      wasStarted,
+      isResumed: wasStarted,
       cost: computeCost(call, size),
       isCostLearnt: size.length.learnt || call.model === undefined,
       slotMs,
@@ -214,7 +214,7 @@
 function computeCost(call: AcquireCall, size: SizeGuess): number {
   if (call.model === undefined) return 1;
   const tokens = Math.max(1, size.length.tokens - call.doneTokens);
-  return tokens + PROMPT_COST * call.promptTokens;
+  return tokens + PROMPT_TOKEN_COST * call.promptTokens;
 }
 
 /**
--- a/src/process/scheduler/waiting_queue.ts
+++ b/src/process/scheduler/waiting_queue.ts
@@ -9,8 +9,8 @@
  */
 import type { TicketId, WorkspaceName } from "../../ids.ts";
 import { ClassQueue } from "./class_queue.ts";
-import type { SchedulerDecisions } from "./decisions.ts";
-import type { FairOrder } from "./fair_order.ts";
+import type { SchedulerFeatures } from "./scheduler_features.ts";
+import type { FairQueue } from "./fair_queue.ts";
 import { compareHeads, type HeadKey } from "./workspace_flow.ts";
 import { Heap } from "./heap.ts";
 import { chooseShedVictim, findLatest } from "./shed_victim.ts";
@@ -23,7 +23,7 @@
 }
 
 interface Candidate<T extends QueueEntry> {
-  lane: FairOrder<T>;
+  lane: FairQueue<T>;
   rank: number;
   key: HeadKey;
 }
@@ -41,7 +41,7 @@
 /** What tells whose share a request counts against. */
 export type ServedEntry = Pick<
   QueueEntry,
-  "className" | "rank" | "workspace" | "weight" | "lane"
+  "className" | "rank" | "workspace" | "weight" | "modelKey"
 >;
 
 /** The entry to grant next. */
@@ -53,19 +53,19 @@
 
 /** All requests that wait in one shard. */
 export class WaitingQueue<T extends QueueEntry> {
-  readonly #decisions: SchedulerDecisions;
+  readonly #decisions: SchedulerFeatures;
   readonly #entries = new Map<TicketId, T>();
   readonly #classes = new Map<string, ClassQueue<T>>();
   readonly #byGiveUp = Heap.create<T>((left, right) =>
-    left.giveUpAt < right.giveUpAt
+    left.dropAt < right.dropAt
   );
 
-  constructor(decisions: SchedulerDecisions) {
+  constructor(decisions: SchedulerFeatures) {
     this.#decisions = decisions;
   }
 
   static create<T extends QueueEntry>(
-    decisions: SchedulerDecisions,
+    decisions: SchedulerFeatures,
   ): WaitingQueue<T> {
     return new WaitingQueue(decisions);
   }
@@ -106,7 +106,7 @@
     }
     queue.add(entry, now);
     this.#entries.set(entry.ticket, entry);
-    if (Number.isFinite(entry.giveUpAt)) this.#byGiveUp.push(entry);
+    if (Number.isFinite(entry.dropAt)) this.#byGiveUp.push(entry);
   }
 
   remove(entry: T, now: number): void {
@@ -162,10 +162,10 @@
   }
 
   /** Removes the entries whose answer would now be useless. */
-  takeHopeless(now: number): T[] {
+  takeExpired(now: number): T[] {
     const hopeless: T[] = [];
     let first = this.#byGiveUp.getFirst();
-    while (first !== undefined && first.giveUpAt <= now) {
+    while (first !== undefined && first.dropAt <= now) {
       this.remove(first, now);
       hopeless.push(first);
       first = this.#byGiveUp.getFirst();
@@ -198,7 +198,7 @@
    * of the workspace with the most waiting. The head of a class goes only
    * when its tier has nothing else.
    */
-  findVictim(): T | undefined {
+  findShedVictim(): T | undefined {
     const isTierBound = this.#decisions.tiers;
     const lowest = this.findLowestRank();
     const candidates = [...this.#classes.values()].filter((queue) =>
@@ -222,8 +222,8 @@
     }
   }
 
-  #findLane(entry: ServedEntry): FairOrder<T> | undefined {
-    return this.#classes.get(buildClassKey(entry))?.lanes.get(entry.lane);
+  #findLane(entry: ServedEntry): FairQueue<T> | undefined {
+    return this.#classes.get(buildClassKey(entry))?.lanes.get(entry.modelKey);
   }
 
   #findPromoted(
--- a/src/process/scheduler/workspace_flow.ts
+++ b/src/process/scheduler/workspace_flow.ts
@@ -54,10 +54,10 @@
 export function buildHeadKey<T extends QueueEntry>(flow: Flow<T>): HeadKey {
   const feasible = flow.feasible.getFirst();
   if (feasible !== undefined) {
-    return { late: false, at: feasible.startBy, order: feasible.order };
+    return { late: false, at: feasible.startBy, order: feasible.sequence };
   }
   const late = flow.late.getFirst()!;
-  return { late: true, at: late.arrivedAt, order: late.order };
+  return { late: true, at: late.arrivedAt, order: late.sequence };
 }
 
 /** Whether the flow has no entries. */
@@ -76,12 +76,12 @@
 
 function isStartedSooner(left: QueueEntry, right: QueueEntry): boolean {
   if (left.startBy !== right.startBy) return left.startBy < right.startBy;
-  return left.order < right.order;
+  return left.sequence < right.sequence;
 }
 
 function isArrivedSooner(left: QueueEntry, right: QueueEntry): boolean {
   if (left.arrivedAt !== right.arrivedAt) {
     return left.arrivedAt < right.arrivedAt;
   }
-  return left.order < right.order;
+  return left.sequence < right.sequence;
 }
--- a/src/process/seeded_fleet/index.ts
+++ b/src/process/seeded_fleet/index.ts
@@ -13,12 +13,15 @@
   findDuty,
   isSmallFleet,
   listDuties,
-  listOwnersOf,
+  listPartitionOwners as listOwnersOf,
   PoolOwners,
 } from "./pool_owners.ts";
 export type { FleetMember, OwnerCandidate } from "./pool_owners.ts";
-export { PlacementAsker } from "./placement_asker.ts";
+export { PlacementRequester as PlacementAsker } from "./placement_requester.ts";
 export { PeerCalls } from "./peer_calls.ts";
 export { PublishedStore } from "./published_store.ts";
-export type { PublishedState, StoreNews } from "./published_store.ts";
+export type {
+  PublishedState,
+  StoreUpdate as StoreNews,
+} from "./published_store.ts";
 export { StateFollower } from "./state_follower.ts";
--- a/src/process/seeded_fleet/placement_asker.ts
+++ b/src/process/seeded_fleet/placement_requester.ts
@@ -40,7 +40,7 @@
 }
 
 /** Sends asks and waits for their answers. */
-export class PlacementAsker {
+export class PlacementRequester {
   readonly #options: PlacementAskerOptions;
   readonly #open = new Map<number, (answer: AnswerMessage) => void>();
   readonly #avoidedUntil = new Map<VmId, number>();
@@ -50,8 +50,8 @@
     this.#options = options;
   }
 
-  static create(options: PlacementAskerOptions): PlacementAsker {
-    return new PlacementAsker(options);
+  static create(options: PlacementAskerOptions): PlacementRequester {
+    return new PlacementRequester(options);
   }
 
   /** For the heartbeat: which asks its loads include. */
--- a/src/process/seeded_fleet/pool_owners.ts
+++ b/src/process/seeded_fleet/pool_owners.ts
@@ -79,7 +79,7 @@
       isServing && !isDraining
     );
     this.#byDuty = new Map(
-      this.#duties.map((duty) => [duty, listOwnersOf(duty, candidates)]),
+      this.#duties.map((duty) => [duty, listPartitionOwners(duty, candidates)]),
     );
     this.owners = new Set([...this.#byDuty.values()].flat());
     this.groups = this.#listGroups();
@@ -134,7 +134,7 @@
  * The owner first, then who takes its place. A VM that has just started knows
  * of no cache, so those that do go first.
  */
-export function listOwnersOf(
+export function listPartitionOwners(
   duty: string,
   candidates: readonly OwnerCandidate[],
 ): VmId[] {
--- a/src/process/seeded_fleet/published_store.ts
+++ b/src/process/seeded_fleet/published_store.ts
@@ -16,7 +16,7 @@
 }
 
 /** What a watch says. */
-export type StoreNews =
+export type StoreUpdate =
   | { kind: "state"; state: PublishedState }
   /** The history that the watch went on from is gone: read all again. */
   | { kind: "history_lost" };
@@ -29,5 +29,5 @@
    * Waits at most `waitMs` for a change after what was read last, and gives
    * the state with it. Rejects `StepError`.
    */
-  abstract watch(waitMs: number): Promise<StoreNews>;
+  abstract watch(waitMs: number): Promise<StoreUpdate>;
 }
--- a/src/process/seeded_fleet/recently_lapsed.ts
+++ b/src/process/seeded_fleet/recently_expired.ts
@@ -22,7 +22,7 @@
 const HALF_STEP = 0.5;
 
 /** Keeps lapsed replicas for a short time after the store came back. */
-export class RecentlyLapsed {
+export class RecentlyExpired {
   readonly #clock: Clock;
   readonly #kept = new Map<VmId, ListedReplica>();
   #keepUntil = -Infinity;
@@ -31,8 +31,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): RecentlyLapsed {
-    return new RecentlyLapsed(clock);
+  static create(clock: Clock): RecentlyExpired {
+    return new RecentlyExpired(clock);
   }
 
   /** Whether replicas are kept that the store's list has not. */
--- a/src/process/seeded_fleet/state_follower.ts
+++ b/src/process/seeded_fleet/state_follower.ts
@@ -26,7 +26,7 @@
 import { computeRendezvousOrder } from "../rendezvous.ts";
 import type { FleetPeer, FleetPeers } from "./fleet_peers.ts";
 import type { PublishedState, PublishedStore } from "./published_store.ts";
-import { RecentlyLapsed } from "./recently_lapsed.ts";
+import { RecentlyExpired } from "./recently_expired.ts";
 import { listChanges, writeChanges } from "./replica_changes.ts";
 import { listEvacuations, writeEvacuations } from "./evacuation_changes.ts";
 
@@ -91,7 +91,7 @@
 export class StateFollower {
   readonly #options: StateFollowerOptions;
   readonly #stopped = new AbortController();
-  readonly #lapsed: RecentlyLapsed;
+  readonly #lapsed: RecentlyExpired;
   #configuration: PublishedConfiguration | undefined;
   #snapshot: RoutedSnapshot | undefined;
   #confirmedAt = -Infinity;
@@ -104,7 +104,7 @@
 
   constructor(options: StateFollowerOptions) {
     this.#options = options;
-    this.#lapsed = RecentlyLapsed.create(options.clock);
+    this.#lapsed = RecentlyExpired.create(options.clock);
   }
 
   static create(options: StateFollowerOptions): StateFollower {
--- a/src/process/services.ts
+++ b/src/process/services.ts
@@ -17,9 +17,9 @@
   WorkspaceName,
 } from "../ids.ts";
 import type { RunOutcome } from "../outcome.ts";
-import type { FateStep } from "../request/fate.ts";
+import type { RequestStep } from "../request/request_status.ts";
 import type { UpstreamSignals } from "../request/upstream_signals.ts";
-import type { ClaimAnswer, LeaseNews } from "./peer_api.ts";
+import type { ClaimAnswer, LeaseUpdate } from "./peer_api.ts";
 
 /** What a request needs from a pool. */
 export interface LeaseRequest {
@@ -47,7 +47,7 @@
   /** Its target for the first output, in milliseconds from now. */
   firstOutputMs?: number;
   /** Its caller leaves after so long without output, in milliseconds. */
-  patienceMs?: number | undefined;
+  clientTimeoutMs?: number | undefined;
   /** For the engine's own queue; 0 is the most urgent. */
   priority?: number;
   /** The same while it can not be in time any more. */
@@ -97,7 +97,7 @@
   noteSignals(_signals: UpstreamSignals): void {}
   /** Gives the slot back; the first call counts. */
   abstract release(
-    state: Exclude<LeaseNews["state"], "running">,
+    state: Exclude<LeaseUpdate["state"], "running">,
     progress: LeaseProgress,
   ): void;
 }
@@ -111,7 +111,7 @@
    */
   abstract acquire(
     request: LeaseRequest,
-    options: { signal: AbortSignal; onStep: (step: FateStep) => void },
+    options: { signal: AbortSignal; onStep: (step: RequestStep) => void },
   ): Promise<HeldLease>;
 }
 
@@ -130,19 +130,19 @@
 }
 
 /** The one run of each request id. */
-export abstract class RunClaims {
+export abstract class ExecutionClaims {
   /** A new id that names this VM and incarnation, to be submitted later. */
   abstract issueId(): RequestId;
   /**
    * A new id for work that begins at once. It cannot be submitted again, so
    * nothing has to be remembered of it.
    */
-  abstract issueSingleId(): RequestId;
+  abstract issueSingleUseId(): RequestId;
   /**
    * Claims the one run at the VM that issued the id; `unreachable` when that
    * VM or incarnation cannot be asked, and then nothing may run.
    */
-  abstract claimRun(
+  abstract claimExecution(
     requestId: RequestId,
   ): Promise<
     | Exclude<ClaimAnswer, { kind: "granted" }>
@@ -150,7 +150,7 @@
     | { kind: "unreachable"; issuer: VmId; why: string }
   >;
   /** Reports the run's outcome to the issuing VM; retried in the background. */
-  abstract settleRun(
+  abstract settleExecution(
     requestId: RequestId,
     outcome: RunOutcome | "answered",
   ): void;
@@ -158,7 +158,7 @@
 
 /** A share of first tries that may be retried, so that retries cannot pile. */
 export abstract class RetryBudget {
-  abstract noteFirstTry(pool: PoolName): void;
+  abstract noteFirstAttempt(pool: PoolName): void;
   /** Whether `takeRetry` would succeed now. */
   abstract hasRetry(pool: PoolName): boolean;
   /** Takes one retry, or returns false when the budget is spent. */
@@ -166,7 +166,7 @@
 }
 
 /** A replica whose connection broke under a request. */
-export interface BrokenReplica {
+export interface DisconnectedReplica {
   id: VmId;
   incarnation: Incarnation | undefined;
   /** Whether the request had any output from it. */
@@ -176,16 +176,16 @@
 /** Requests that are kept from replicas because replicas crash under them. */
 export abstract class Quarantine {
   /** How long a request must not be sent, in milliseconds; 0 if it may. */
-  abstract getHeldMs(fingerprint: RequestFingerprint): number;
+  abstract getQuarantineMs(fingerprint: RequestFingerprint): number;
   /** Whether it may be what crashed the replicas that it was in flight at. */
   abstract isSuspect(fingerprint: RequestFingerprint): boolean;
   /**
    * Takes in that a replica's connection broke under the request; resolves once
    * it is known whether the replica crashed. Never rejects.
    */
-  abstract noteBreak(
+  abstract noteConnectionLoss(
     fingerprint: RequestFingerprint,
-    replica: BrokenReplica,
+    replica: DisconnectedReplica,
   ): Promise<void>;
   /** Takes in that a replica answered it whole. */
   abstract noteAnswered(fingerprint: RequestFingerprint): void;
--- a/src/process/fleet_summaries.ts
+++ b/src/process/shard_summaries.ts
@@ -16,7 +16,7 @@
 }
 
 /** The last summary of each shard, by each VM that acts as its owner. */
-export class SummaryBoard {
+export class ShardSummaries {
   readonly #clock: Clock;
   readonly #heard = new Map<ShardId, Map<VmId, Heard>>();
 
@@ -24,8 +24,8 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): SummaryBoard {
-    return new SummaryBoard(clock);
+  static create(clock: Clock): ShardSummaries {
+    return new ShardSummaries(clock);
   }
 
   /** Takes in `summary`; returns whether it was news. */
--- a/src/process/caller_run_claims.ts
+++ b/src/process/unchecked_execution_claims.ts
@@ -8,12 +8,12 @@
  */
 import { type RequestId, toId } from "../ids.ts";
 import type { Random } from "./random.ts";
-import { RunClaims } from "./services.ts";
+import { ExecutionClaims } from "./services.ts";
 
 const ID_LENGTH = 16;
 
 /** Grants every claim. */
-export class CallerRunClaims extends RunClaims {
+export class UncheckedExecutionClaims extends ExecutionClaims {
   readonly #random: Random;
 
   constructor(random: Random) {
@@ -21,21 +21,21 @@
     this.#random = random;
   }
 
-  static create(random: Random): CallerRunClaims {
-    return new CallerRunClaims(random);
+  static create(random: Random): UncheckedExecutionClaims {
+    return new UncheckedExecutionClaims(random);
   }
 
   issueId(): RequestId {
     return toId<RequestId>(this.#random.nextHex(ID_LENGTH));
   }
 
-  issueSingleId(): RequestId {
+  issueSingleUseId(): RequestId {
     return this.issueId();
   }
 
-  claimRun(): ReturnType<RunClaims["claimRun"]> {
+  claimExecution(): ReturnType<ExecutionClaims["claimExecution"]> {
     return Promise.resolve({ kind: "granted", isStanding: () => true });
   }
 
-  settleRun(): void {}
+  settleExecution(): void {}
 }
--- a/src/process/unreadable_signals.ts
+++ b/src/process/unreadable_header_log.ts
@@ -13,7 +13,7 @@
 const MOST_REMEMBERED = 1_000;
 
 /** Writes one line for each value of an upstream's header, not for each answer. */
-export class UnreadableSignals {
+export class UnreadableHeaderLog {
   readonly #log: Log;
   readonly #written = new Map<string, string>();
 
@@ -21,8 +21,8 @@
     this.#log = log;
   }
 
-  static create(log: Log): UnreadableSignals {
-    return new UnreadableSignals(log);
+  static create(log: Log): UnreadableHeaderLog {
+    return new UnreadableHeaderLog(log);
   }
 
   /** Takes in what could not be read in an answer of `upstream`. */
--- a/src/process/member_upstream_words.ts
+++ b/src/process/upstream_notices.ts
@@ -4,8 +4,8 @@
  * @module
  */
 import type { VmId } from "../ids.ts";
-import { UNKNOWN_INCARNATION } from "./member_beliefs.ts";
-import type { MemberNews } from "./peer_api.ts";
+import { UNKNOWN_INCARNATION } from "./member_states.ts";
+import type { MemberUpdate } from "./peer_api.ts";
 
 interface Word {
   isLeaving: boolean;
@@ -15,11 +15,11 @@
 }
 
 /** Each upstream's last word, passed on as news with a counter. */
-export class UpstreamWords {
+export class UpstreamNotices {
   readonly #words = new Map<VmId, Word>();
 
-  static create(): UpstreamWords {
-    return new UpstreamWords();
+  static create(): UpstreamNotices {
+    return new UpstreamNotices();
   }
 
   isLeaving(vm: VmId): boolean {
@@ -34,7 +34,7 @@
     vm: VmId,
     isLeaving: boolean,
     saidAt: number,
-  ): MemberNews | undefined {
+  ): MemberUpdate | undefined {
     const known = this.#words.get(vm);
     if (known !== undefined && saidAt < known.saidAt) return undefined;
     if (known !== undefined) known.saidAt = saidAt;
@@ -46,7 +46,7 @@
   }
 
   /** Takes in what a VM passed on just now; returns whether it was new. */
-  noteNews(news: MemberNews, now: number): boolean {
+  noteNews(news: MemberUpdate, now: number): boolean {
     const known = this.#words.get(news.vm)?.counter ?? 0;
     if (news.counter <= known) return false;
     const isLeaving = news.state === "draining";
--- a/src/process/member_wait.ts
+++ b/src/process/with_timeout.ts
@@ -6,7 +6,7 @@
 import type { Clock } from "./clock.ts";
 
 /** What `answer` gives within `ms`; undefined when it takes longer. */
-export function waitAtMost<T>(
+export function withTimeout<T>(
   answer: Promise<T>,
   ms: number,
   clock: Clock,
--- a/src/request/tries.ts
+++ b/src/request/attempts.ts
@@ -17,8 +17,8 @@
   FAILED_RETRY_AFTER_MS,
   isWorthWaiting,
 } from "./retry_rules.ts";
-import { toFailure, type TryFailure } from "./try_failure.ts";
-import { TryProgress } from "./try_progress.ts";
+import { toFailure, type TryFailure } from "./attempt_failure.ts";
+import { TryProgress } from "./attempt_progress.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
 /** Leases that one request may use up, preempted and lapsed ones included. */
@@ -47,7 +47,7 @@
   run: RequestRun,
   work: UpstreamWork,
 ): Promise<void> {
-  run.services.budget.noteFirstTry(work.pool.name);
+  run.services.retryBudget.noteFirstAttempt(work.pool.name);
   run.pool = work.pool;
   const avoid: VmId[] = [];
   let tries = 0;
@@ -193,7 +193,7 @@
       signal: cancel.signal,
       progress,
       onSignals: (signals) => {
-        run.services.unreadable.note(lease.upstream, signals.unreadable);
+        run.services.unreadableHeaders.note(lease.upstream, signals.unreadable);
         lease.noteSignals(signals);
       },
       onWhole: () => lease.release("done", progress.getProgress()),
@@ -244,7 +244,7 @@
   const failure = toFailure(error, lease.upstream);
   if (failure.mayHaveRun) run.noteMayHaveRun();
   const noted = failure.isConnectionLost
-    ? run.services.quarantine.noteBreak(run.start.fingerprint, {
+    ? run.services.quarantine.noteConnectionLoss(run.start.fingerprint, {
       id: lease.upstream,
       incarnation: lease.upstreamIncarnation,
       hadOutput: progress.getProgress().tokens > 0,
