--- a/src/request/routed_dialect.ts
+++ b/src/request/header_codec.ts
@@ -13,7 +13,7 @@
 }
 
 /** What a caller says of a generation before it begins. */
-export interface PromptShape {
+export interface PromptMetadata {
   /** In order; a part can be cached only where all before it are. */
   parts: PromptPart[];
   promptTokens: number;
@@ -25,13 +25,13 @@
   requestId: string | undefined;
   /** How long the caller waits, in milliseconds from its sending. */
   timeoutMs: number | undefined;
-  prompt: PromptShape | undefined;
+  prompt: PromptMetadata | undefined;
   /** The last event of a stream that the caller has already. */
   lastEventId: string | undefined;
 }
 
 /** What the router tells an upstream beside the caller's own headers. */
-export interface UpstreamFacts {
+export interface UpstreamMetadata {
   /** The replica that is meant, and no other at its address. */
   upstream: VmId;
   /** Undefined on routes that need no key. */
@@ -46,7 +46,7 @@
 }
 
 /** What an answer's head says of the work. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** The request that is answered; undefined where it is not named. */
   requestId: string | undefined;
   /** The upstream's word that it did not run the request and never will. */
@@ -58,15 +58,15 @@
 }
 
 /** Reads and writes the headers of routed calls. Names in lower case. */
-export abstract class RoutedDialect {
+export abstract class HeaderCodec {
   abstract readCall(headers: Record<string, string>): RoutedCall;
   /** The caller's headers, less its own secrets, with the router's words. */
   abstract buildHeaders(
     callerHeaders: Record<string, string>,
-    facts: UpstreamFacts,
+    facts: UpstreamMetadata,
   ): Record<string, string>;
   abstract readAnswer(
     status: number,
     headers: Record<string, string>,
-  ): AnswerFacts;
+  ): AnswerMetadata;
 }
--- a/src/request/index.ts
+++ b/src/request/index.ts
@@ -6,13 +6,17 @@
 export { CallerHandler } from "./caller_request.ts";
 export type { CallerRequest } from "./caller_request.ts";
 export { CallerSink } from "./caller_sink.ts";
-export type { FateRecord, FateStep, FateStepName } from "./fate.ts";
+export type {
+  RequestStatus as FateRecord,
+  RequestStep as FateStep,
+  RequestStepName as FateStepName,
+} from "./request_status.ts";
 export type { RequestServices } from "./request_services.ts";
 export { RequestRouter } from "./router.ts";
 export type {
-  AnswerFacts,
+  AnswerMetadata as AnswerFacts,
+  PromptMetadata as PromptShape,
   PromptPart,
-  PromptShape,
   RoutedCall,
-  UpstreamFacts,
-} from "./routed_dialect.ts";
+  UpstreamMetadata as UpstreamFacts,
+} from "./header_codec.ts";
--- a/src/request/refusal_truth.ts
+++ b/src/request/refusal_outcome.ts
@@ -12,7 +12,7 @@
  * "not run", because this submission reached no upstream. Of an id that was not
  * asked about, nothing is known; `already_submitted` is what its issuer said.
  */
-export function toTrueRefusal(
+export function withProvableOutcome(
   refusal: Refusal,
   givenId: string | undefined,
 ): Refusal {
--- a/src/request/request_run.ts
+++ b/src/request/request_run.ts
@@ -14,7 +14,7 @@
   Workspace,
 } from "../version/records.ts";
 import type { CallerSink } from "./caller_sink.ts";
-import type { FateRecord, FateStepName } from "./fate.ts";
+import type { RequestStatus, RequestStepName } from "./request_status.ts";
 import type { RequestServices } from "./request_services.ts";
 import { RunPhases } from "./run_phases.ts";
 
@@ -22,7 +22,7 @@
  * Steps whose lines name the fingerprint: with them the sendings of one request
  * are found, and what broke at a replica that ended.
  */
-const FINGERPRINTED_STEPS: ReadonlySet<FateStepName> = new Set([
+const FINGERPRINTED_STEPS: ReadonlySet<RequestStepName> = new Set([
   "arrived",
   "stream_broken",
 ]);
@@ -87,7 +87,7 @@
     this.#phases = RunPhases.create(start.arrivedAt, (phase, ms) => {
       services.metrics.noteStep(start.requestClass.name, phase, ms);
     });
-    services.fates.start(buildFate(services, start));
+    services.requestStatuses.start(buildFate(services, start));
   }
 
   static create(services: RequestServices, start: RunStart): RequestRun {
@@ -108,10 +108,10 @@
 
   /** Takes a step into the fate record and the log. */
   note(
-    step: FateStepName,
+    step: RequestStepName,
     options: { peer?: string; detail?: string | undefined } = {},
   ): void {
-    const { environment, fates } = this.services;
+    const { environment, requestStatuses: fates } = this.services;
     const now = environment.clock.now();
     const ageMs = Math.round(now - this.start.arrivedAt);
     this.#phases.noteStep(step, now);
@@ -167,7 +167,7 @@
   end(end: RunEnd): void {
     if (this.#ended) return;
     this.#ended = true;
-    const { claims, fates } = this.services;
+    const { claims, requestStatuses: fates } = this.services;
     const outcome = end.kind === "answered" ? "answered" : this.getOutcome();
     const code = match(end)
       .with({ kind: "answered" }, () => undefined)
@@ -183,7 +183,7 @@
       this.note("unknown", { detail: "An upstream may have done the work" });
     }
     fates.end(this.id, { outcome, code, tokens: this.tokens });
-    claims.settleRun(this.id, outcome);
+    claims.settleExecution(this.id, outcome);
     const figures = this.#buildFigures(end, lastPhase);
     if (isCounted(end)) this.services.metrics.noteFinished(figures);
     this.#writeFinished(figures, { outcome, code });
@@ -191,7 +191,7 @@
 
   #writeFinished(
     figures: FinishedRequest,
-    end: { outcome: FateRecord["outcome"]; code: FateRecord["code"] },
+    end: { outcome: RequestStatus["outcome"]; code: RequestStatus["code"] },
   ): void {
     const { environment } = this.services;
     // Where lines have to be left out, those of failures are kept longest.
@@ -278,7 +278,7 @@
     .otherwise(() => true);
 }
 
-function buildFate(services: RequestServices, start: RunStart): FateRecord {
+function buildFate(services: RequestServices, start: RunStart): RequestStatus {
   const { vm, clock } = services.environment;
   return {
     requestId: start.requestId,
--- a/src/request/request_services.ts
+++ b/src/request/request_services.ts
@@ -7,17 +7,17 @@
 import type { Refusal } from "../outcome.ts";
 import type { AnswerStore } from "../process/answer_store.ts";
 import type { LocalEnvironment } from "../process/environment.ts";
-import type { FateStore } from "../process/fate_store.ts";
-import type { FateAnswer } from "../process/peer_api.ts";
+import type { RequestStatusStore } from "../process/request_status_store.ts";
+import type { RequestStatusAnswer } from "../process/peer_api.ts";
 import type {
+  ExecutionClaims,
   LeaseSource,
   LimitSource,
   Quarantine,
   RequestMetrics,
   RetryBudget,
-  RunClaims,
 } from "../process/services.ts";
-import type { UnreadableSignals } from "../process/unreadable_signals.ts";
+import type { UnreadableHeaderLog } from "../process/unreadable_header_log.ts";
 import type { Snapshot } from "../version/records.ts";
 
 /** The process-wide parts behind every request. */
@@ -27,12 +27,12 @@
   getSnapshot: () => Snapshot | undefined;
   leases: LeaseSource;
   limits: LimitSource;
-  claims: RunClaims;
-  fates: FateStore;
-  budget: RetryBudget;
+  claims: ExecutionClaims;
+  requestStatuses: RequestStatusStore;
+  retryBudget: RetryBudget;
   quarantine: Quarantine;
   /** Log lines on what upstreams ask and cannot be read. */
-  unreadable: UnreadableSignals;
+  unreadableHeaders: UnreadableHeaderLog;
   metrics: RequestMetrics;
   answers: AnswerStore;
   isDraining: () => boolean;
@@ -46,8 +46,8 @@
    * The fate from whichever VM knows it. Rejects when the VM that would know
    * cannot be asked.
    */
-  findFate: (
+  findStatus: (
     requestId: RequestId,
     options: { withAnswer: boolean },
-  ) => Promise<FateAnswer>;
+  ) => Promise<RequestStatusAnswer>;
 }
--- a/src/request/fate.ts
+++ b/src/request/request_status.ts
@@ -7,7 +7,7 @@
 import type { RefusalCode, RunOutcome } from "../outcome.ts";
 
 /** The steps that a request can take. */
-export type FateStepName =
+export type RequestStepName =
   | "arrived"
   | "claimed"
   | "admitted"
@@ -26,8 +26,8 @@
   | "unknown";
 
 /** One step with its time, peer and cause. */
-export interface FateStep {
-  step: FateStepName;
+export interface RequestStep {
+  step: RequestStepName;
   /** Time since the request arrived at this VM, in milliseconds. */
   ageMs: number;
   /** The VM or upstream on the other side. */
@@ -37,7 +37,7 @@
 }
 
 /** Everything that a VM knows of one request. */
-export interface FateRecord {
+export interface RequestStatus {
   requestId: RequestId;
   /** The VM that ran the request's task. */
   vm: VmId;
@@ -48,7 +48,7 @@
   configVersion: number;
   outcome: RunOutcome | "running" | "answered";
   code: RefusalCode | undefined;
-  steps: FateStep[];
+  steps: RequestStep[];
   /** Steps left out because the record reached its bound. */
   droppedSteps: number;
   tokens: number;
--- a/src/request/fate_page.ts
+++ b/src/request/request_status_page.ts
@@ -6,28 +6,28 @@
 import { toError } from "../errors.ts";
 import type { RequestId } from "../ids.ts";
 import { RefusalError } from "../outcome.ts";
-import type { FateAnswer } from "../process/peer_api.ts";
+import type { RequestStatusAnswer } from "../process/peer_api.ts";
 import type { Workspace } from "../version/records.ts";
-import type { FateRecord } from "./fate.ts";
+import type { RequestStatus } from "./request_status.ts";
 import type { RequestServices } from "./request_services.ts";
 
 /** A fate as callers and operators read it, or why it is not known. */
-export type FatePage = Record<string, unknown>;
+export type RequestStatusPage = Record<string, unknown>;
 
 /**
  * Finds what became of a request of `workspace`. Throws `RefusalError`
  * (`not_found`) for another workspace's.
  */
-export async function buildFatePage(
+export async function buildStatusPage(
   services: RequestServices,
   requestId: RequestId,
   workspace: Workspace,
-): Promise<FatePage> {
-  let found: FateAnswer;
+): Promise<RequestStatusPage> {
+  let found: RequestStatusAnswer;
   try {
-    found = await services.findFate(requestId, { withAnswer: false });
+    found = await services.findStatus(requestId, { withAnswer: false });
   } catch (thrown) {
-    return buildUnaskedPage(requestId, thrown);
+    return buildUnreachablePage(requestId, thrown);
   }
   if (found.fate === undefined) {
     const why = "No VM that could know keeps a record of it: it was never " +
@@ -35,7 +35,7 @@
     return buildUnknown(requestId, why);
   }
   if (found.fate.workspace === workspace.name) {
-    return formatFatePage(found.fate);
+    return formatStatusPage(found.fate);
   }
   throw new RefusalError({
     code: "not_found",
@@ -45,10 +45,10 @@
 }
 
 /** The page of a request whose VM cannot be asked, with the reason. */
-export function buildUnaskedPage(
+export function buildUnreachablePage(
   requestId: RequestId,
   thrown: unknown,
-): FatePage {
+): RequestStatusPage {
   const why = `The VM that would know cannot be asked: ${
     toError(thrown).message
   }`;
@@ -56,7 +56,7 @@
 }
 
 /** Writes a record as a page. */
-export function formatFatePage(fate: FateRecord): FatePage {
+export function formatStatusPage(fate: RequestStatus): RequestStatusPage {
   return {
     request_id: fate.requestId,
     outcome: fate.outcome,
@@ -77,6 +77,6 @@
   };
 }
 
-function buildUnknown(requestId: RequestId, why: string): FatePage {
+function buildUnknown(requestId: RequestId, why: string): RequestStatusPage {
   return { request_id: requestId, outcome: "unknown", why, steps: [] };
 }
--- a/src/request/request_task.ts
+++ b/src/request/request_task.ts
@@ -16,7 +16,7 @@
 import { computeFingerprint } from "./request_fingerprint.ts";
 import { RequestRun } from "./request_run.ts";
 import { answerResubmission } from "./resubmission.ts";
-import { runTries } from "./tries.ts";
+import { runTries } from "./attempts.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
 /** Carries an id that the caller took from `POST /v1/requests`. */
@@ -55,11 +55,11 @@
 ): Promise<void> {
   const givenId = asked.request.headers[REQUEST_ID_HEADER];
   const requestId = givenId === undefined
-    ? services.claims.issueSingleId()
+    ? services.claims.issueSingleUseId()
     : checkGivenId(givenId);
   const claim = givenId === undefined
     ? OWN_CLAIM
-    : await services.claims.claimRun(requestId);
+    : await services.claims.claimExecution(requestId);
   if (claim.kind !== "granted") {
     const { workspace, sink } = asked;
     await answerResubmission(services, { requestId, workspace, sink }, claim);
--- a/src/request/resubmission.ts
+++ b/src/request/resubmission.ts
@@ -7,13 +7,16 @@
 import { toError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
 import { type Refusal, RefusalError, type RunOutcome } from "../outcome.ts";
-import type { FateAnswer, RetainedAnswer } from "../process/peer_api.ts";
-import type { RunClaims } from "../process/services.ts";
+import type {
+  RequestStatusAnswer,
+  RetainedAnswer,
+} from "../process/peer_api.ts";
+import type { ExecutionClaims } from "../process/services.ts";
 import type { Workspace } from "../version/records.ts";
 import type { CallerSink } from "./caller_sink.ts";
 import type { RequestServices } from "./request_services.ts";
 
-type Claim = Awaited<ReturnType<RunClaims["claimRun"]>>;
+type Claim = Awaited<ReturnType<ExecutionClaims["claimExecution"]>>;
 /** A claim that was not granted. */
 export type DeniedClaim = Exclude<Claim, { kind: "granted" }>;
 type TakenClaim = Extract<Claim, { kind: "taken" }>;
@@ -77,8 +80,8 @@
   services: RequestServices,
   requestId: RequestId,
   runner: VmId,
-): Promise<FateAnswer | undefined> {
-  const { environment, fates, answers } = services;
+): Promise<RequestStatusAnswer | undefined> {
+  const { environment, requestStatuses: fates, answers } = services;
   if (runner === environment.vm) {
     return { fate: fates.find(requestId), answer: answers.find(requestId) };
   }
--- a/src/request/retry_rules.ts
+++ b/src/request/retry_rules.ts
@@ -6,7 +6,7 @@
 import { type Refusal, RefusalError } from "../outcome.ts";
 import type { HeldLease } from "../process/services.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { TryFailure } from "./try_failure.ts";
+import type { TryFailure } from "./attempt_failure.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
 /** Tries that may fail for one request, the first one included. */
@@ -50,7 +50,7 @@
   checkCanContinue(run, work, failure.message);
   // A try that never reached an upstream loads none of those that are left.
   if (!failure.wasSent) return;
-  if (!run.services.budget.takeRetry(work.pool.name)) {
+  if (!run.services.retryBudget.takeRetry(work.pool.name)) {
     throw giveUp("the retry budget is spent");
   }
 }
@@ -110,7 +110,7 @@
   lease: HeldLease,
 ): boolean {
   return lease.isUpstreamAlive() ||
-    !run.services.budget.hasRetry(work.pool.name);
+    !run.services.retryBudget.hasRetry(work.pool.name);
 }
 
 /** A refusal whose outcome covers every send of the run. */
@@ -124,5 +124,5 @@
 
 /** How long the request must not be sent, in whole milliseconds. */
 function getHeldMs({ services, start }: RequestRun): number {
-  return Math.ceil(services.quarantine.getHeldMs(start.fingerprint));
+  return Math.ceil(services.quarantine.getQuarantineMs(start.fingerprint));
 }
--- a/src/request/routed_handler.ts
+++ b/src/request/routed_handler.ts
@@ -23,7 +23,7 @@
 import type { RequestServices } from "./request_services.ts";
 import { type CheckedWork, runClaimed } from "./request_task.ts";
 import { RoutedCallWork } from "./routed_call_work.ts";
-import type { RoutedCall, RoutedDialect } from "./routed_dialect.ts";
+import type { HeaderCodec, RoutedCall } from "./header_codec.ts";
 import { ResumableStreamWork, SingleStreamWork } from "./routed_stream_work.ts";
 import type { RoutedWork, RoutedWorkStart } from "./routed_work.ts";
 
@@ -48,7 +48,7 @@
 export interface RoutedHandlerOptions {
   services: RequestServices;
   getSnapshot: () => RoutedSnapshot | undefined;
-  dialect: RoutedDialect;
+  headerCodec: HeaderCodec;
 }
 
 /** A call whose route and caller are known. */
@@ -101,7 +101,7 @@
     const workspace = route.isPublic
       ? PUBLIC_WORKSPACE
       : checkCaller(snapshot, request.headers);
-    const call = this.#options.dialect.readCall(request.headers);
+    const call = this.#options.headerCodec.readCall(request.headers);
     if (call.requestId === undefined) {
       throw createNotRun("bad_request", "A request id is needed");
     }
@@ -152,7 +152,7 @@
       priority: snapshot.ranks.getRank(workspace, route),
       latePriority: snapshot.ranks.getLateRank(route),
       isInteractive: snapshot.interactiveClasses.has(route.className),
-      dialect: this.#options.dialect,
+      dialect: this.#options.headerCodec,
     });
     const promptTokens = call.prompt?.promptTokens ?? 0;
     const expectedTokens = call.prompt?.maxTokens ?? 0;
@@ -160,7 +160,7 @@
   }
 
   #findRequestId(request: CallerRequest): RequestId | undefined {
-    const { requestId } = this.#options.dialect.readCall(request.headers);
+    const { requestId } = this.#options.headerCodec.readCall(request.headers);
     return requestId === undefined ? undefined : toId<RequestId>(requestId);
   }
 
--- a/src/request/routed_work.ts
+++ b/src/request/routed_work.ts
@@ -16,7 +16,7 @@
 import { buildAnswerHeaders } from "./answer_headers.ts";
 import type { CallerRequest } from "./caller_request.ts";
 import type { RequestRun } from "./request_run.ts";
-import type { RoutedCall, RoutedDialect } from "./routed_dialect.ts";
+import type { HeaderCodec, RoutedCall } from "./header_codec.ts";
 import {
   BrokenAnswerError,
   type LeaseNeeds,
@@ -42,7 +42,7 @@
   /** Its priority while it can not be in time any more. */
   latePriority: number;
   isInteractive: boolean;
-  dialect: RoutedDialect;
+  dialect: HeaderCodec;
 }
 
 /** What routed calls and streams have in common. */
@@ -76,7 +76,7 @@
       partTokens: parts.map((part) => part.tokens),
       isInteractive: this.start.isInteractive,
       firstOutputMs: this.start.run.start.requestClass.targets.firstTokenMs,
-      patienceMs: this.start.run.start.requestClass.patienceMs,
+      clientTimeoutMs: this.start.run.start.requestClass.patienceMs,
       priority: this.start.priority,
       latePriority: this.start.latePriority,
       regions: findCommonRegions(
--- a/src/request/router.ts
+++ b/src/request/router.ts
@@ -8,7 +8,7 @@
 import { toError } from "../errors.ts";
 import { type RequestId, toId } from "../ids.ts";
 import { type Refusal, RefusalError } from "../outcome.ts";
-import { ID_TTL_MS } from "../process/run_claims.ts";
+import { ID_TTL_MS } from "../process/execution_claims.ts";
 import type { Snapshot } from "../version/records.ts";
 import { checkCaller } from "./authenticate.ts";
 import {
@@ -18,8 +18,8 @@
 } from "./caller_request.ts";
 import type { CallerSink } from "./caller_sink.ts";
 import { runCompletion } from "./completion_task.ts";
-import { buildFatePage } from "./fate_page.ts";
-import { toTrueRefusal } from "./refusal_truth.ts";
+import { buildStatusPage } from "./request_status_page.ts";
+import { withProvableOutcome } from "./refusal_outcome.ts";
 import type { RequestServices } from "./request_services.ts";
 import { parseRoute, type Route } from "./routes.ts";
 import { runService } from "./service_task.ts";
@@ -130,7 +130,7 @@
     { request, sink }: { request: CallerRequest; sink: CallerSink },
   ): Promise<void> {
     const workspace = checkCaller(this.#getSnapshot(), request.headers);
-    const page = await buildFatePage(this.#services, requestId, workspace);
+    const page = await buildStatusPage(this.#services, requestId, workspace);
     await this.#writeJson(sink, OK, page);
   }
 
@@ -144,7 +144,7 @@
     sink.writeHead(status, {
       "content-type": "application/json",
       "content-length": String(body.length),
-      [REQUEST_ID_HEADER]: this.#services.claims.issueSingleId(),
+      [REQUEST_ID_HEADER]: this.#services.claims.issueSingleUseId(),
     });
     await sink.write(body);
     await sink.end();
@@ -154,13 +154,13 @@
   #findRequestId(request: CallerRequest): RequestId {
     const given = request.headers[REQUEST_ID_HEADER];
     if (given !== undefined) return toId<RequestId>(given);
-    return this.#services.claims.issueSingleId();
+    return this.#services.claims.issueSingleUseId();
   }
 
   #toRefusal(request: CallerRequest, thrown: unknown): Refusal {
     const { log } = this.#services.environment;
     if (thrown instanceof RefusalError) {
-      const refusal = toTrueRefusal(
+      const refusal = withProvableOutcome(
         thrown.refusal,
         request.headers[REQUEST_ID_HEADER],
       );
--- a/src/request/run_phases.ts
+++ b/src/request/run_phases.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { match } from "ts-pattern";
-import type { FateStepName } from "./fate.ts";
+import type { RequestStepName } from "./request_status.ts";
 
 /** What a request waits for. */
 export type RunPhase =
@@ -53,7 +53,7 @@
   }
 
   /** A step at `now` ends one phase and begins the next. */
-  noteStep(step: FateStepName, now: number): void {
+  noteStep(step: RequestStepName, now: number): void {
     const next = chooseNextPhase(step);
     if (next === this.#current) return;
     const ms = now - this.#since;
@@ -65,7 +65,7 @@
   }
 }
 
-function chooseNextPhase(step: FateStepName): RunPhase {
+function chooseNextPhase(step: RequestStepName): RunPhase {
   return match(step)
     .returnType<RunPhase>()
     .with("arrived", () => "claim")
--- a/src/request/upstream_work.ts
+++ b/src/request/upstream_work.ts
@@ -10,7 +10,7 @@
 import type { Refusal } from "../outcome.ts";
 import type { HeldLease, LeaseRequest } from "../process/services.ts";
 import type { UpstreamPool } from "../version/records.ts";
-import type { TryProgress } from "./try_progress.ts";
+import type { TryProgress } from "./attempt_progress.ts";
 import type { UpstreamSignals } from "./upstream_signals.ts";
 
 /** What goes to the upstream. */
@@ -68,7 +68,7 @@
   | "partTokens"
   | "isInteractive"
   | "firstOutputMs"
-  | "patienceMs"
+  | "clientTimeoutMs"
   | "priority"
   | "latePriority"
   | "regions"
--- a/standin/engine_core.ts
+++ b/standin/engine_core.ts
@@ -7,7 +7,7 @@
  */
 import type {
   CacheEvent,
-  EngineOrder,
+  EngineCommand,
   LoadReport,
 } from "../src/connection/upstream_transport.ts";
 import type { Clock } from "../src/process/clock.ts";
@@ -155,7 +155,7 @@
   }
 
   /** False when the fencing number is old and this engine checks it. */
-  applyOrder(order: EngineOrder): boolean {
+  applyOrder(order: EngineCommand): boolean {
     const accepted = this.#models.applyOrder(order, () => this.#noteLoad());
     this.#noteLoad();
     return accepted;
--- a/standin/engine_models.ts
+++ b/standin/engine_models.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { match } from "ts-pattern";
-import type { EngineOrder } from "../src/connection/upstream_transport.ts";
+import type { EngineCommand } from "../src/connection/upstream_transport.ts";
 import type { Clock } from "../src/process/clock.ts";
 import type { EngineOptions, HeldModel } from "./engine_options.ts";
 
@@ -15,7 +15,7 @@
 export interface OrderRecord {
   /** Time of arrival on the engine's clock, in milliseconds. */
   at: number;
-  order: EngineOrder;
+  order: EngineCommand;
   accepted: boolean;
 }
 
@@ -65,7 +65,7 @@
   }
 
   /** Takes an order; `onChange` is called when a load has come to its end. */
-  applyOrder(order: EngineOrder, onChange: () => void): boolean {
+  applyOrder(order: EngineCommand, onChange: () => void): boolean {
     const isOld = order.fencing < this.#fencing;
     const accepted = !(isOld && this.#options.fencing === "checked");
     this.#orders.push({ at: this.#clock.now(), order, accepted });
@@ -81,14 +81,14 @@
     return true;
   }
 
-  #startLoad(order: EngineOrder, onChange: () => void): void {
+  #startLoad(order: EngineCommand, onChange: () => void): void {
     this.#clock.startTimer(this.#options.loadModelMs, () => {
       this.#load(order);
       onChange();
     });
   }
 
-  #load(order: EngineOrder): void {
+  #load(order: EngineCommand): void {
     const adapters = order.adapter === undefined ? [] : [order.adapter];
     const held = this.#held.find((other) => isSameModel(other, order));
     const merged = {
@@ -100,7 +100,7 @@
   }
 
   /** An order with an adapter unloads only that. */
-  #unload(order: EngineOrder): void {
+  #unload(order: EngineCommand): void {
     const rest = this.#held.filter((held) => !isSameModel(held, order));
     const held = this.#held.find((other) => isSameModel(other, order));
     if (held !== undefined && order.adapter !== undefined) {
@@ -111,6 +111,6 @@
   }
 }
 
-function isSameModel(held: HeldModel, order: EngineOrder): boolean {
+function isSameModel(held: HeldModel, order: EngineCommand): boolean {
   return held.model === order.model && held.version === order.version;
 }
--- a/standin/virtual_network.ts
+++ b/standin/virtual_network.ts
@@ -9,12 +9,12 @@
 import {
   type AcquireCall,
   type ClaimCall,
-  type FateCall,
   type HandOverCall,
   type LimitCall,
   PeerApi,
   PeerDirectory,
   type ProbeCall,
+  type RequestStatusCall,
   type SettleCall,
   type SnapshotCall,
   type SuspectsCall,
@@ -376,7 +376,7 @@
     return this.#ask("settleRun", call);
   }
 
-  findFate(call: FateCall): ReturnType<PeerApi["findFate"]> {
+  findFate(call: RequestStatusCall): ReturnType<PeerApi["findFate"]> {
     return this.#ask("findFate", call);
   }
 
--- a/test/connection/http_transport_test.ts
+++ b/test/connection/http_transport_test.ts
@@ -518,7 +518,7 @@
         role: undefined,
         fencing: 7,
       };
-      expect(await transport.sendOrder(UPSTREAM, order)).toBe(isTaken);
+      expect(await transport.sendCommand(UPSTREAM, order)).toBe(isTaken);
       expect(seen).toEqual([
         'POST /v1/orders {"action":"load","model":"m","version":"1","fencing":7}',
       ]);
--- a/test/connection/peers_test.ts
+++ b/test/connection/peers_test.ts
@@ -17,7 +17,7 @@
 
 const SECRET = "fleet-secret";
 const VM = toId<VmId>("vm-2");
-const FROM: Peer.CallFrom = {
+const FROM: Peer.PeerIdentity = {
   vm: toId<VmId>("vm-1"),
   incarnation: toId<Incarnation>("i-1"),
 };
@@ -91,8 +91,8 @@
   override settleRun(call: Peer.SettleCall) {
     return this.#note<void>("settleRun", call);
   }
-  override findFate(call: Peer.FateCall) {
-    return this.#note<Peer.FateAnswer>("findFate", call);
+  override findFate(call: Peer.RequestStatusCall) {
+    return this.#note<Peer.RequestStatusAnswer>("findFate", call);
   }
   override handOver(call: Peer.HandOverCall) {
     return this.#note<boolean>("handOver", call);
@@ -150,7 +150,7 @@
   it("passes every call and its answer on", async () => {
     const { api, listener } = await startPeer();
     const peer = createPeer(listener.port);
-    const news: Peer.LeaseNews = {
+    const news: Peer.LeaseUpdate = {
       lease: toId("l-1"),
       ticket: toId("t-1"),
       upstream: toId("up-1"),
--- a/test/failures/message_replayed_test.ts
+++ b/test/failures/message_replayed_test.ts
@@ -68,7 +68,7 @@
   const { prober, membership } = getVm(fleet, 0);
   const other = getVm(fleet, 1);
   const oldProbe = {
-    ...other.membership.getOwnContact(),
+    ...other.membership.getSelfReport(),
     members: [],
     summaries: [],
     configVersion: 1,
@@ -78,7 +78,7 @@
   await fleet.runUntil(() => !membership.isReachable(toVmId(1)), 10_000);
   prober.answerProbe(oldProbe);
   expect(membership.isReachable(toVmId(1))).toBe(false);
-  const third = getVm(fleet, 2).membership.getOwnContact();
+  const third = getVm(fleet, 2).membership.getSelfReport();
   prober.answerProbe({
     ...oldProbe,
     ...third,
--- a/test/failures/owner_back_within_seconds_test.ts
+++ b/test/failures/owner_back_within_seconds_test.ts
@@ -15,11 +15,11 @@
   toId,
   type VmId,
 } from "../../src/ids.ts";
-import { SummaryBoard } from "../../src/process/fleet_summaries.ts";
+import { ShardSummaries } from "../../src/process/shard_summaries.ts";
 import type { ShardSummary } from "../../src/process/peer_api.ts";
 import { ShardOwner } from "../../src/process/scheduler/shard_owner.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
-import { buildPool } from "../process/orders/fixtures.ts";
+import { buildPool } from "../process/engine_control/fixtures.ts";
 import { buildEnvironment } from "../support/request_fakes.ts";
 
 const SHARD = toId<ShardId>("pool/0");
@@ -39,7 +39,7 @@
 }
 
 it("takes the first summary of an owner that restarted", () => {
-  const board = SummaryBoard.create(VirtualClock.create());
+  const board = ShardSummaries.create(VirtualClock.create());
   board.put(buildSummary("one", 5_000));
   expect(board.put(buildSummary("two", 1))).toBe(true);
   expect(board.find(SHARD)?.room).toBe(1);
@@ -49,7 +49,7 @@
 it("takes the summaries of an owner that got its shard back", async () => {
   const clock = VirtualClock.create();
   const environment = buildEnvironment(clock, { vm: "vm-a" });
-  const board = SummaryBoard.create(clock);
+  const board = ShardSummaries.create(clock);
   const createOwner = () =>
     ShardOwner.create({
       environment,
--- a/test/failures/poison_request_test.ts
+++ b/test/failures/poison_request_test.ts
@@ -23,7 +23,7 @@
 async function endEngines(world: FuzzWorld): Promise<void> {
   for (const [index, { runtime }] of world.listLives().entries()) {
     if (index === CRASHES) break;
-    await runtime.quarantine.noteBreak(POISON, {
+    await runtime.quarantine.noteConnectionLoss(POISON, {
       id: toId<VmId>(`engine-${index}`),
       incarnation: undefined,
       hadOutput: true,
@@ -34,7 +34,7 @@
 
 function listHeldMs(world: FuzzWorld): number[] {
   return world.listLives().map(({ runtime }) =>
-    runtime.quarantine.getHeldMs(POISON)
+    runtime.quarantine.getQuarantineMs(POISON)
   );
 }
 
--- a/test/failures/retry_with_ejected_replica_test.ts
+++ b/test/failures/retry_with_ejected_replica_test.ts
@@ -18,8 +18,8 @@
 import {
   buildCall,
   buildClass,
-  createOwnerBench,
-  type OwnerBench,
+  createOwnerHarness,
+  type OwnerHarness,
 } from "../process/scheduler/fixtures.ts";
 
 const FIRST = toId<VmId>("upstream-0");
@@ -31,7 +31,7 @@
 it("probes with any work where nothing in service could serve it", async () => {
   const bench = await createEjected();
   const once = buildCall("reminder", { ...ONCE, holdMs: 60_000 });
-  bench.ask(once);
+  bench.acquire(once);
   await bench.clock.run(UNSERVED_MS);
   expect(bench.leases.get(once.ticket)?.upstream).toBe(FIRST);
 });
@@ -42,13 +42,13 @@
   for (let probes = 0; probes < 3; probes++) {
     const probe = buildCall("lookup");
     await bench.clock.run(MAX_PROBE_MS);
-    bench.ask(probe);
+    bench.acquire(probe);
     await bench.clock.run(1);
     expect(bench.leases.get(probe.ticket)?.upstream).toBe(FIRST);
     bench.release(probe, { state: "failed" });
   }
   const once = buildCall("reminder", { ...ONCE, holdMs: 60_000 });
-  bench.ask(once);
+  bench.acquire(once);
   await bench.clock.run(UNSERVED_MS);
   expect(bench.refused.get(once.ticket)).toBe("no_upstream");
 });
@@ -57,20 +57,20 @@
   const bench = await createEjected();
   await bench.clock.run(UNSERVED_MS);
   const once = buildCall("reminder", { idempotent: false });
-  bench.ask(once);
+  bench.acquire(once);
   await bench.clock.run(1);
   expect(bench.leases.get(once.ticket)?.upstream).toBe(SECOND);
 });
 
 /** An owner of two replicas, the first of them ejected for its failures. */
-async function createEjected(): Promise<OwnerBench> {
-  const bench = await createOwnerBench({
+async function createEjected(): Promise<OwnerHarness> {
+  const bench = await createOwnerHarness({
     classes: [buildClass("lookup"), buildClass("reminder")],
     replicas: 2,
   });
   for (let failures = 0; failures < 2; failures++) {
     const call = buildCall("lookup", { avoid: [SECOND] });
-    bench.ask(call);
+    bench.acquire(call);
     await bench.clock.run(1);
     bench.release(call, { state: "failed" });
   }
--- a/test/failures/run_elsewhere_after_refusal_test.ts
+++ b/test/failures/run_elsewhere_after_refusal_test.ts
@@ -73,15 +73,15 @@
   id: RequestId,
   outcome: "not_run" | "answered",
 ): Promise<void> {
-  const claim = await vm.claims.claimRun(id);
+  const claim = await vm.claims.claimExecution(id);
   expect(claim.kind).toBe("granted");
   vm.fates.start(buildRunningRecord(id));
   vm.fates.end(id, { outcome, code: undefined, tokens: 0 });
-  vm.claims.settleRun(id, outcome);
+  vm.claims.settleExecution(id, outcome);
   await clock.run(1);
 }
 
 async function findOutcome(vm: RequestVm, id: RequestId) {
-  const { fate } = await vm.finder.findFate(id);
+  const { fate } = await vm.finder.findStatus(id);
   return fate?.outcome;
 }
--- a/test/failures/vm_paused_test.ts
+++ b/test/failures/vm_paused_test.ts
@@ -63,7 +63,7 @@
   fleet.network.cut(owner, others[0]!);
   let doubts = 0;
   membership.onChange(() => {
-    const isDoubt = (vm: VmId) => membership.findDoubt(vm) !== undefined;
+    const isDoubt = (vm: VmId) => membership.findSuspicion(vm) !== undefined;
     if (others.some(isDoubt)) doubts += 1;
   });
   for (let pause = 0; pause < 40; pause += 1) {
@@ -82,10 +82,10 @@
   const suspect = fleet.list().map((vm) => vm.listed.id).find((vm) =>
     vm !== owner
   )!;
-  membership.noteSilence(suspect);
+  membership.noteProbeFailure(suspect);
   await pauseOwner(fleet, 10_000);
   expect(membership.isRecovering()).toBe(true);
-  expect(membership.applySuspicions(1_500)).toEqual([]);
+  expect(membership.applySuspicionTimeout(1_500)).toEqual([]);
   expect(membership.isReachable(suspect)).toBe(true);
 });
 
--- a/test/fuzz/fuzz_upstreams.ts
+++ b/test/fuzz/fuzz_upstreams.ts
@@ -11,7 +11,7 @@
 import { findTag } from "../../bench/support/tags.ts";
 import {
   type CacheEvent,
-  type EngineOrder,
+  type EngineCommand,
   type LoadReport,
   type UpstreamAnswer,
   type UpstreamCall,
@@ -189,9 +189,9 @@
     return (await this.#fetchEngine(upstream)).listCacheEvents(after);
   }
 
-  override async sendOrder(
+  override async sendCommand(
     upstream: VmId,
-    order: EngineOrder,
+    order: EngineCommand,
   ): Promise<boolean> {
     return (await this.#fetchEngine(upstream)).applyOrder(order);
   }
--- a/test/fuzz/vm_life.ts
+++ b/test/fuzz/vm_life.ts
@@ -10,7 +10,7 @@
 import type { Log } from "../../src/process/log.ts";
 import { type PeerApi, PeerDirectory } from "../../src/process/peer_api.ts";
 import { SeededRandom } from "../../src/process/random.ts";
-import { LEASE_TTL_MS } from "../../src/process/scheduler/lease_accounts.ts";
+import { LEASE_TTL_MS } from "../../src/process/scheduler/lease_manager.ts";
 import { VmRuntime } from "../../src/process/runtime.ts";
 import type { ListedVm } from "../../src/version/index.ts";
 import type { VirtualNetwork } from "../../standin/virtual_network.ts";
--- a/test/platform/fleet_test.ts
+++ b/test/platform/fleet_test.ts
@@ -253,7 +253,7 @@
 
   /** Other VMs that placed this VM's request, by its fate. */
   function listOwners({ vm, settings }: TestVm): string[] {
-    const fate = vm.fates.find(toId(`by-${settings.vm}`));
+    const fate = vm.requestStatuses.find(toId(`by-${settings.vm}`));
     const details = fate?.steps.map(({ detail }) => detail ?? "") ?? [];
     return details.flatMap((detail) => /^by=(vm-\d+)/.exec(detail)?.[1] ?? []);
   }
--- a/test/process/orders/order_giver_test.ts
+++ b/test/process/engine_control/engine_controller_test.ts
@@ -17,7 +17,7 @@
   ORDER_LEASE_MS,
   ORDER_TRANSIT_MS,
   OrderGiver,
-} from "../../../src/process/orders/index.ts";
+} from "../../../src/process/engine_control/index.ts";
 import type { PeerDirectory } from "../../../src/process/peer_api.ts";
 import { SeededRandom } from "../../../src/process/random.ts";
 import type {
@@ -75,7 +75,7 @@
     return Promise.resolve(this.#engines.reports.get(upstream)!);
   }
 
-  override sendOrder(_vm: VmId, order: EngineOrder): Promise<boolean> {
+  override sendCommand(_vm: VmId, order: EngineOrder): Promise<boolean> {
     const now = this.#clock.now();
     return Promise.resolve(this.#engines.take(this.#giver, order, now));
   }
--- a/test/process/orders/placement_test.ts
+++ b/test/process/engine_control/model_placement_test.ts
@@ -1,7 +1,10 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { toId, type VmId } from "../../../src/ids.ts";
-import { chooseModels, planOrders } from "../../../src/process/orders/index.ts";
+import {
+  chooseModels,
+  planOrders,
+} from "../../../src/process/engine_control/index.ts";
 import { buildPool, buildReport, MODEL_A, MODEL_B } from "./fixtures.ts";
 
 const VMS = ["u1", "u2", "u3", "u4"].map((id) => toId<VmId>(id));
@@ -62,7 +65,7 @@
     const reports = new Map(VMS.map((vm) => [vm, buildReport([MODEL_B])]));
     const input = { pool, shardIndex: 0, upstreams: VMS, reports };
     for (let round = 0; round < 5; round++) {
-      for (const { upstream, order } of planOrders(input)) {
+      for (const { upstream, command: order } of planOrders(input)) {
         const report = reports.get(upstream)!;
         if (order.action === "unload") {
           report.models = report.models.filter((one) =>
@@ -94,13 +97,15 @@
     const reports = new Map(VMS.map((vm) => [vm, { ...report }]));
     const input = { pool, shardIndex: 0, upstreams: VMS, reports };
     const listRoles = () =>
-      planOrders(input).filter(({ order }) => order.action === "role");
+      planOrders(input).filter(({ command: order }) => order.action === "role");
     expect(listRoles().map(({ upstream }) => upstream)).toEqual(VMS);
-    expect(listRoles()[0]!.order.role).toBe("prefill");
+    expect(listRoles()[0]!.command.role).toBe("prefill");
     reports.get(VMS[0]!)!.role = "prefill";
     expect(listRoles()).toHaveLength(VMS.length - 1);
     const open = { ...input, pool: { ...pool, role: undefined } };
-    expect(planOrders(open).some(({ order }) => order.action === "role"))
+    expect(
+      planOrders(open).some(({ command: order }) => order.action === "role"),
+    )
       .toBe(false);
   });
 
@@ -114,6 +119,8 @@
       reports,
     });
     expect(planned.length).toBeGreaterThan(0);
-    expect(planned.every(({ order }) => order.action === "load")).toBe(true);
+    expect(planned.every(({ command: order }) => order.action === "load")).toBe(
+      true,
+    );
   });
 });
--- a/test/process/run_claims_test.ts
+++ b/test/process/execution_claims_test.ts
@@ -10,8 +10,8 @@
 import {
   CLAIM_TTL_MS,
   ID_TTL_MS,
-  ProcessRunClaims,
-} from "../../src/process/run_claims.ts";
+  ProcessExecutionClaims,
+} from "../../src/process/execution_claims.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 import { buildEnvironment, FakePeers } from "../support/request_fakes.ts";
 
@@ -21,7 +21,7 @@
   const clock = VirtualClock.create();
   const environment = buildEnvironment(clock);
   const options = maxClaims === undefined ? {} : { maxClaims };
-  return { clock, claims: ProcessRunClaims.create(environment, options) };
+  return { clock, claims: ProcessExecutionClaims.create(environment, options) };
 }
 
 describe("a request id", () => {
@@ -146,7 +146,7 @@
 describe("the claimer", () => {
   function createPair(claimRun: PeerApi["claimRun"]) {
     const clock = VirtualClock.create();
-    const issuer = ProcessRunClaims.create(buildEnvironment(clock));
+    const issuer = ProcessExecutionClaims.create(buildEnvironment(clock));
     const peers = new FakePeers();
     const settled: string[] = [];
     peers.peers.set("vm-a", {
@@ -157,7 +157,7 @@
       },
     } as PeerApi);
     const environment = buildEnvironment(clock, { vm: "vm-b", seed: 2, peers });
-    const claimer = ProcessRunClaims.create(environment);
+    const claimer = ProcessExecutionClaims.create(environment);
     return { clock, claimer, settled, requestId: issuer.issueId() };
   }
 
@@ -169,7 +169,7 @@
       await clock.sleep(1_000);
       return { kind: "granted", ttlMs: 1_500 };
     });
-    const asked = claimer.claimRun(requestId);
+    const asked = claimer.claimExecution(requestId);
     await clock.run(1_000);
     const claim = await asked;
     if (claim.kind !== "granted") throw new Error("Not granted");
@@ -184,7 +184,7 @@
       nonces.push(call.nonce);
       return Promise.reject(new Error("Lost"));
     });
-    const asked = claimer.claimRun(requestId);
+    const asked = claimer.claimExecution(requestId);
     await clock.run(1_000);
     expect(await asked).toMatchObject({
       kind: "unreachable",
@@ -201,9 +201,9 @@
     const { clock, claimer, requestId, settled } = createPair(() =>
       Promise.resolve({ kind: "granted", ttlMs: 1_000 })
     );
-    await claimer.claimRun(requestId);
-    claimer.settleRun(requestId, "answered");
-    claimer.settleRun(requestId, "unknown");
+    await claimer.claimExecution(requestId);
+    claimer.settleExecution(requestId, "answered");
+    claimer.settleExecution(requestId, "unknown");
     await clock.run(10);
     expect(settled).toEqual(["answered"]);
   });
--- a/test/process/fleet_membership_test.ts
+++ b/test/process/fleet_membership_test.ts
@@ -135,7 +135,7 @@
     const fleet = await startWithUpstreams();
     const { membership, prober } = getVm(fleet, 0);
     membership.noteUpstreamLeaving(toId<VmId>("up-0"));
-    for (let vm = 1; vm < 8; vm += 1) membership.noteSilence(toVmId(vm));
+    for (let vm = 1; vm < 8; vm += 1) membership.noteProbeFailure(toVmId(vm));
     for (let index = 0; index < 50; index += 1) {
       prober.announceSummary({
         shard: toId<ShardId>(`pool/${index}`),
@@ -148,7 +148,7 @@
         sequence: 1,
       });
     }
-    const { from, ...rest } = getVm(fleet, 1).membership.getOwnContact();
+    const { from, ...rest } = getVm(fleet, 1).membership.getSelfReport();
     const call: ProbeCall = {
       from,
       ...rest,
--- a/test/process/limits/held_limit_test.ts
+++ b/test/process/limits/limit_client_test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { buildWorkspace } from "../../../bench/support/limit_fleet.ts";
 import type { RefusalError } from "../../../src/outcome.ts";
-import { HeldLimit } from "../../../src/process/limits/held_limit.ts";
+import { LimitClient } from "../../../src/process/limits/limit_client.ts";
 import type { LimitAmount } from "../../../src/process/limits/limit_bucket.ts";
 import type { LimitAnswer } from "../../../src/process/peer_api.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
@@ -12,7 +12,11 @@
   clock: VirtualClock,
   fetchChunk: (amount: LimitAmount) => Promise<LimitAnswer | undefined>,
 ): { admit: () => Promise<string> } {
-  const held = HeldLimit.create({ clock, countEntryVms: () => 8, fetchChunk });
+  const held = LimitClient.create({
+    clock,
+    countEntryVms: () => 8,
+    fetchChunk,
+  });
   const workspace = buildWorkspace("clinic", LIMITS);
   return {
     admit: () =>
@@ -55,7 +59,7 @@
 // Cause: the refusal of the share says what only the owner could know.
 test("does not call a workspace over its limit on a share's account", async () => {
   const clock = VirtualClock.create();
-  const held = HeldLimit.create({
+  const held = LimitClient.create({
     clock,
     countEntryVms: () => 8,
     fetchChunk: () => Promise.resolve(undefined),
--- a/test/process/limits/workspace_limits_test.ts
+++ b/test/process/limits/workspace_limits_test.ts
@@ -148,7 +148,7 @@
     await admitAll(fleet, 10);
     const countState = () =>
       fleet.listVms()
-        .map((vm) => fleet.getLimits(vm).figures)
+        .map((vm) => fleet.getLimits(vm).stats)
         .reduce((sum, { held, buckets }) => sum + held + buckets, 0);
     expect(countState()).toBe(9);
     await fleet.clock.run(2 * MINUTE_MS);
--- a/test/process/member_beliefs_test.ts
+++ b/test/process/member_states_test.ts
@@ -7,8 +7,8 @@
 import { describe, expect, it } from "vitest";
 import { toId } from "../../src/ids.ts";
 import type { Incarnation, VmId } from "../../src/ids.ts";
-import { MemberBeliefs } from "../../src/process/member_beliefs.ts";
-import type { MemberNews } from "../../src/process/peer_api.ts";
+import { MemberStates } from "../../src/process/member_states.ts";
+import type { MemberUpdate } from "../../src/process/peer_api.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 
 const SELF = { vm: toId<VmId>("a"), incarnation: toId<Incarnation>("a-1") };
@@ -17,8 +17,8 @@
 
 function createBeliefs() {
   const clock = VirtualClock.create();
-  const sent: MemberNews[] = [];
-  const beliefs = MemberBeliefs.create({
+  const sent: MemberUpdate[] = [];
+  const beliefs = MemberStates.create({
     self: SELF,
     clock,
     onNews: (news) => sent.push(news),
@@ -84,7 +84,7 @@
       incarnation: fc.constant(OTHER.incarnation),
       state: fc.constantFrom("alive", "suspect", "dead" as const),
       counter: fc.integer({ min: 0, max: 3 }),
-    }) as fc.Arbitrary<MemberNews>;
+    }) as fc.Arbitrary<MemberUpdate>;
     fc.assert(
       fc.property(fc.array(news, { minLength: 1, maxLength: 8 }), (given) => {
         const results = [given, [...given].reverse()].map((order) => {
--- a/test/process/placement/suited_replicas_test.ts
+++ b/test/process/placement/eligible_replicas_test.ts
@@ -6,7 +6,7 @@
 } from "../../../src/process/placement/interactive_replicas.ts";
 import { PlacementState } from "../../../src/process/placement/index.ts";
 import { choosePlacement } from "../../../src/process/placement/placement_choice.ts";
-import { listSuited } from "../../../src/process/placement/suited_replicas.ts";
+import { listSuited } from "../../../src/process/placement/eligible_replicas.ts";
 import {
   buildListedReplica,
   buildListedReplicas,
@@ -72,7 +72,7 @@
     const replicas = buildListedReplicas(POOL_SIZE);
     const state = PlacementState.create({
       clock: VirtualClock.create(),
-      onNews: () => {},
+      onUpdate: () => {},
       onEjected: () => {},
     });
     for (const { id } of replicas.slice(0, POOL_SIZE / 2)) {
--- a/test/process/placement/fetch_source_test.ts
+++ b/test/process/placement/fetch_source_test.ts
@@ -31,7 +31,7 @@
   }));
   const state = PlacementState.create({
     clock,
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   });
   const choose = (needs = SHEET) =>
@@ -68,7 +68,7 @@
     expect(choose().fetchFrom).toBeUndefined();
     state.prefixes.noteRead(holder, SHEET.parts);
     expect(choose().fetchFrom).toBe("10.0.0.1:80");
-    const [told] = state.takeNews().reads;
+    const [told] = state.takeUpdate().reads;
     expect(told).toEqual([holder, ["sheet"]]);
   });
 
@@ -78,7 +78,7 @@
     state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
     await clock.run(READ_MS);
     state.prefixes.noteRead(holder, SHEET.parts);
-    expect(state.takeNews().reads).toEqual([]);
+    expect(state.takeUpdate().reads).toEqual([]);
   });
 
   // Symptom: some replicas have five seconds of prefill ahead, others none.
--- a/test/process/placement/locality_test.ts
+++ b/test/process/placement/locality_test.ts
@@ -30,7 +30,7 @@
   });
   const state = PlacementState.create({
     clock: VirtualClock.create(),
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   });
   const regions = new Map<DataCentre, Region>([
--- a/test/process/placement/on_time_test.ts
+++ b/test/process/placement/on_time_test.ts
@@ -45,7 +45,7 @@
   readonly clock = VirtualClock.create();
   readonly state = PlacementState.create({
     clock: this.clock,
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   });
   readonly firstOutputMs: number[] = [];
@@ -67,8 +67,8 @@
       directory,
       locality: Locality.create(new Map()),
       state: this.state,
-      readArrived: () => Promise.resolve(),
-      askOwner: () => Promise.resolve(undefined),
+      waitForSocketReads: () => Promise.resolve(),
+      fetchPlacement: () => Promise.resolve(undefined),
     });
   }
 
@@ -168,7 +168,7 @@
     partTokens: [PROMPT_TOKENS],
     isInteractive: false,
     firstOutputMs: TARGET_MS,
-    patienceMs: PATIENCE_MS,
+    clientTimeoutMs: PATIENCE_MS,
     priority: ON_TIME,
     latePriority: LATE,
     avoid: [],
@@ -226,9 +226,9 @@
   it("takes its turn, however late that is", async () => {
     const pool = new ModelPool();
     await pool.runLoad(1, 120);
-    const patient = await pool.add({ patienceMs: 4_000 });
+    const patient = await pool.add({ clientTimeoutMs: 4_000 });
     expect(patient.priority).toBe(ON_TIME);
-    const unknown = await pool.add({ patienceMs: undefined });
+    const unknown = await pool.add({ clientTimeoutMs: undefined });
     expect(unknown.priority).toBe(ON_TIME);
   });
 });
@@ -282,11 +282,11 @@
       locality: Locality.create(new Map()),
       state: PlacementState.create({
         clock,
-        onNews: () => {},
+        onUpdate: () => {},
         onEjected: () => {},
       }),
-      readArrived: () => Promise.resolve(),
-      askOwner: () => Promise.resolve("full"),
+      waitForSocketReads: () => Promise.resolve(),
+      fetchPlacement: () => Promise.resolve("full"),
     });
     const retries: number[] = [];
     for (let index = 0; index < 20; index++) {
--- a/test/process/placement/placement_choice_test.ts
+++ b/test/process/placement/placement_choice_test.ts
@@ -37,7 +37,7 @@
 function createState(clock = VirtualClock.create()): PlacementState {
   return PlacementState.create({
     clock,
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   });
 }
@@ -178,7 +178,7 @@
     const ejected: number[] = [];
     const state = PlacementState.create({
       clock,
-      onNews: () => {},
+      onUpdate: () => {},
       onEjected: (_replica, forMs) => ejected.push(forMs),
     });
     const id = toId<VmId>("i-0");
@@ -217,9 +217,9 @@
     for (let index = 0; index < 10; index++) {
       state.speeds.noteFirstOutput(id, 9_000, 1_300);
     }
-    const slow = state.speeds.getRatio(id);
+    const slow = state.speeds.getSlowdown(id);
     expect(slow).toBeGreaterThan(3);
     await clock.run(8_000);
-    expect(state.speeds.getRatio(id)).toBeLessThan(1 + (slow - 1) / 3);
+    expect(state.speeds.getSlowdown(id)).toBeLessThan(1 + (slow - 1) / 3);
   });
 });
--- a/test/process/placement/prefix_priming_test.ts
+++ b/test/process/placement/prefix_priming_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { toId, type VmId } from "../../../src/ids.ts";
 import { SilentLog } from "../../../src/process/log.ts";
-import { PrefixMemory } from "../../../src/process/placement/prefix_memory.ts";
+import { PrefixIndex } from "../../../src/process/placement/prefix_index.ts";
 import {
   PrefixPriming,
   type PrimingSources,
@@ -12,7 +12,7 @@
 
 function createPriming(sources: Partial<PrimingSources>) {
   const clock = VirtualClock.create();
-  const prefixes = PrefixMemory.create(clock);
+  const prefixes = PrefixIndex.create(clock);
   const asked: string[] = [];
   const priming = PrefixPriming.create({
     clock,
@@ -29,7 +29,7 @@
         asked.push(replica);
         return Promise.resolve(["part"]);
       },
-      isFirst: () => true,
+      isResponsible: () => true,
       ...sources,
     },
   });
@@ -61,7 +61,9 @@
   });
 
   it("leaves the asking to one VM, and does it if that one is silent", async () => {
-    const { clock, priming, asked } = createPriming({ isFirst: () => false });
+    const { clock, priming, asked } = createPriming({
+      isResponsible: () => false,
+    });
     const ended = priming.run(new AbortController().signal);
     await clock.run(1_500);
     expect(asked).toEqual([]);
--- a/test/process/placement/replica_back_offs_test.ts
+++ b/test/process/placement/replica_back_offs_test.ts
@@ -27,7 +27,7 @@
   await clock.run(500);
   note(1_000);
   note(0);
-  expect(backOffs.getLeftMs(REPLICA)).toBe(2_500);
+  expect(backOffs.getRemainingMs(REPLICA)).toBe(2_500);
   expect(backOffs.list()).toEqual([REPLICA]);
   await clock.run(2_500);
   expect(backOffs.isBackingOff(REPLICA)).toBe(false);
--- a/test/process/placement/replica_chooser_test.ts
+++ b/test/process/placement/replica_chooser_test.ts
@@ -33,7 +33,7 @@
   });
   const state = PlacementState.create({
     clock: VirtualClock.create(),
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   });
   return {
--- a/test/process/placement/replica_list_test.ts
+++ b/test/process/placement/replica_list_test.ts
@@ -66,7 +66,7 @@
     first.list(FIRST, SECOND);
     second.list(FIRST, SECOND);
     first.directory.noteLeaving(FIRST.id);
-    second.directory.noteLeavingNews(first.directory.listLeaving());
+    second.directory.notePeerLeaving(first.directory.listLeaving());
     expect(second.listReady()).toEqual([SECOND.id]);
   });
 
@@ -77,7 +77,7 @@
     for (let revision = 2; revision <= 9; revision++) first.list(FIRST, SECOND);
     const fresh = createDirectory(8);
     fresh.list(FIRST, SECOND);
-    fresh.directory.noteLeavingNews(first.directory.listLeaving());
+    fresh.directory.notePeerLeaving(first.directory.listLeaving());
     expect(fresh.listReady()).toEqual([SECOND.id]);
   });
 
@@ -90,7 +90,7 @@
     ahead.list(FIRST);
     ahead.list(SECOND);
     ahead.list(FIRST, SECOND);
-    ahead.directory.noteLeavingNews(lagging.directory.listLeaving());
+    ahead.directory.notePeerLeaving(lagging.directory.listLeaving());
     expect(ahead.listReady()).toEqual([FIRST.id, SECOND.id]);
   });
 
--- a/test/process/placement/replica_liveness_test.ts
+++ b/test/process/placement/replica_liveness_test.ts
@@ -40,11 +40,11 @@
     locality: Locality.create(new Map()),
     state: PlacementState.create({
       clock,
-      onNews: () => {},
+      onUpdate: () => {},
       onEjected: () => {},
     }),
-    askOwner: () => Promise.resolve(undefined),
-    readArrived: () => Promise.resolve(),
+    fetchPlacement: () => Promise.resolve(undefined),
+    waitForSocketReads: () => Promise.resolve(),
   });
   return { clock, list, source };
 }
--- a/test/process/placement/replica_rate_limits_test.ts
+++ b/test/process/placement/replica_rate_limits_test.ts
@@ -5,7 +5,7 @@
   type RateLimitEntry,
   ReplicaRateLimits,
 } from "../../../src/process/placement/replica_rate_limits.ts";
-import type { DecisionShare } from "../../../src/process/placement/slow_start.ts";
+import type { PlacementRole } from "../../../src/process/placement/slow_start.ts";
 import { SeededRandom } from "../../../src/process/random.ts";
 import { buildListedReplica } from "../../support/listed_replicas.ts";
 
@@ -27,15 +27,15 @@
 
 function createLimits(
   clock: VirtualClock,
-  fleet: Partial<DecisionShare & { heard: number }> = {},
+  fleet: Partial<PlacementRole & { heard: number }> = {},
 ): TestLimits {
   const told: (number | undefined)[] = [];
   const { role = "equal", others = [] } = fleet;
   const limits = ReplicaRateLimits.create({
     clock,
     onChange: (_replica, perS) => told.push(perS),
-    getShare: () => ({ role, others }),
-    countHeard: () => fleet.heard ?? others.length,
+    getRole: () => ({ role, others }),
+    countReachable: () => fleet.heard ?? others.length,
   });
   const note = (requestsPerS: number | undefined) =>
     limits.noteSignals(REPLICA.id, {
@@ -91,9 +91,9 @@
     }
     if (at % NEWS_EVERY_MS === 0) {
       for (const { vm, limits } of all) {
-        const news = limits.listNews();
+        const news = limits.listUpdates();
         for (const other of all) {
-          if (other.vm !== vm) other.limits.noteNews(vm, news);
+          if (other.vm !== vm) other.limits.applyUpdates(vm, news);
         }
       }
     }
@@ -183,11 +183,11 @@
     const first = createLimits(clock);
     const second = createLimits(clock);
     first.note(2);
-    second.limits.noteNews(OTHER_VM, first.limits.listNews());
+    second.limits.applyUpdates(OTHER_VM, first.limits.listUpdates());
     expect(second.limits.getLimit(REPLICA.id)).toBe(2);
     await clock.run(10);
     first.note(Infinity);
-    second.limits.noteNews(OTHER_VM, first.limits.listNews());
+    second.limits.applyUpdates(OTHER_VM, first.limits.listUpdates());
     expect(second.limits.getLimit(REPLICA.id)).toBeUndefined();
   });
 
@@ -199,11 +199,11 @@
     first.note(2);
     await clock.run(10);
     second.note(Infinity);
-    second.limits.noteNews(OTHER_VM, first.limits.listNews());
+    second.limits.applyUpdates(OTHER_VM, first.limits.listUpdates());
     expect(second.limits.getLimit(REPLICA.id)).toBeUndefined();
     second.note(5);
     await clock.run(10);
-    second.limits.noteNews(OTHER_VM, first.limits.listNews());
+    second.limits.applyUpdates(OTHER_VM, first.limits.listUpdates());
     expect(second.limits.getLimit(REPLICA.id)).toBe(5);
   });
 
@@ -213,7 +213,7 @@
     note(1);
     const tell = (sent: number) => {
       const entry: RateLimitEntry = [REPLICA.id, -1, -1, sent];
-      limits.noteNews(OTHER_VM, [entry]);
+      limits.applyUpdates(OTHER_VM, [entry]);
     };
     tell(3);
     tell(5);
@@ -228,9 +228,9 @@
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(1);
-    expect(limits.listNews()).toHaveLength(1);
+    expect(limits.listUpdates()).toHaveLength(1);
     await clock.run(3_000);
-    expect(limits.listNews()).toEqual([]);
+    expect(limits.listUpdates()).toEqual([]);
   });
 
   it("is told of for a while once it has ended, and then no more", async () => {
@@ -238,10 +238,10 @@
     const { limits, note } = createLimits(clock);
     note(1);
     note(Infinity);
-    expect(limits.listNews()).toEqual([[REPLICA.id, -1, 0, 0]]);
+    expect(limits.listUpdates()).toEqual([[REPLICA.id, -1, 0, 0]]);
     await clock.run(3_000);
     note(Infinity);
-    expect(limits.listNews()).toEqual([]);
+    expect(limits.listUpdates()).toEqual([]);
   });
 
   it("is shared with VMs that are not heard", async () => {
--- a/test/process/placement/slow_start_test.ts
+++ b/test/process/placement/slow_start_test.ts
@@ -2,7 +2,7 @@
 import { toId, type VmId } from "../../../src/ids.ts";
 import type { ListedReplica } from "../../../src/process/placement/index.ts";
 import {
-  type DecisionShare,
+  type PlacementRole,
   SlowStart,
 } from "../../../src/process/placement/slow_start.ts";
 import { buildListedReplica } from "../../support/listed_replicas.ts";
@@ -28,7 +28,7 @@
 function createStart(
   clock: VirtualClock,
   vm: string,
-  role: DecisionShare["role"],
+  role: PlacementRole["role"],
   vms: readonly VmId[] = FLEET,
 ): SlowStart {
   return SlowStart.create({
@@ -36,7 +36,7 @@
     clock,
     excess: EXCESS,
     getWarmUp: () => WARM_UP,
-    getShare: () => ({ role, others: vms.filter((other) => other !== vm) }),
+    getRole: () => ({ role, others: vms.filter((other) => other !== vm) }),
   });
 }
 
@@ -170,7 +170,7 @@
       clock,
       excess: EXCESS,
       getWarmUp: () => undefined,
-      getShare: () => ({ role: "owner", others: [] }),
+      getRole: () => ({ role: "owner", others: [] }),
     });
     const replica = buildReplica({ warmUp: { leftMs: 500, revision: 7 } });
     start.noteList({ revision: 7, replicas: [replica] });
--- a/test/process/placement/answered_loads_test.ts
+++ b/test/process/placement/unreported_loads_test.ts
@@ -15,7 +15,7 @@
 function createLoads(clock: VirtualClock) {
   return PlacementState.create({
     clock,
-    onNews: () => {},
+    onUpdate: () => {},
     onEjected: () => {},
   }).loads;
 }
@@ -27,26 +27,26 @@
   // Cause: the owner counted only what VMs had told.
   it("counts from the answer on, and once", () => {
     const loads = createLoads(VirtualClock.create());
-    loads.answered.note(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
     expect(loads.getLoad(REPLICA)).toEqual(LOAD);
-    loads.answered.settle(VM, 1, []);
+    loads.unreported.settle(VM, 1, []);
     loads.putPeer(VM, [[REPLICA, 900, 1, 0, 0]]);
     expect(loads.getLoad(REPLICA)).toEqual(LOAD);
   });
 
   it("counts on while the other VM has not seen the answer", () => {
     const loads = createLoads(VirtualClock.create());
-    loads.answered.note(VM, 1, { replica: REPLICA, load: LOAD });
-    loads.answered.note(VM, 2, { replica: REPLICA, load: LOAD });
-    loads.answered.note(VM, 3, { replica: REPLICA, load: LOAD });
-    loads.answered.settle(VM, 2, [1]);
+    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.note(VM, 2, { replica: REPLICA, load: LOAD });
+    loads.unreported.note(VM, 3, { replica: REPLICA, load: LOAD });
+    loads.unreported.settle(VM, 2, [1]);
     expect(loads.getLoad(REPLICA).running).toBe(2);
   });
 
   it("is forgotten when the other VM is never heard again", async () => {
     const clock = VirtualClock.create();
     const loads = createLoads(clock);
-    loads.answered.note(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
     await clock.run(1_500);
     expect(loads.getLoad(REPLICA).running).toBe(0);
   });
--- a/test/process/quarantine/quarantine_fleet.ts
+++ b/test/process/quarantine/quarantine_fleet.ts
@@ -93,7 +93,7 @@
   /** Whether each VM that is up holds the request back. */
   isHeldByAll(request: RequestFingerprint): boolean {
     return this.#vms.filter(({ isUp }) => isUp)
-      .every(({ quarantine }) => quarantine.getHeldMs(request) > 0);
+      .every(({ quarantine }) => quarantine.getQuarantineMs(request) > 0);
   }
 
   /** A replica's connections break under these requests of these VMs. */
@@ -105,7 +105,7 @@
     const id = toId<VmId>(`i-${this.#replicas}`);
     const incarnation = toId<Incarnation>(id);
     for (const [vm, request] of requests) {
-      void this.getQuarantine(vm).noteBreak(request, {
+      void this.getQuarantine(vm).noteConnectionLoss(request, {
         id,
         incarnation,
         hadOutput,
@@ -130,7 +130,7 @@
     this.clock.startTimer(DELAY_MS, () => {
       if (!receiver.isUp) return;
       const name = String(from.index);
-      const better = receiver.quarantine.noteNews(name, entries);
+      const better = receiver.quarantine.mergeEntries(name, entries);
       if (better.length > 0) this.#send(receiver, from.index, better);
     });
   }
--- a/test/process/quarantine/request_quarantine_test.ts
+++ b/test/process/quarantine/request_quarantine_test.ts
@@ -62,7 +62,7 @@
           await clock.run(KNOWN_WITHIN_MS);
         }
         const vm = random.nextInt(8);
-        if (fleet.getQuarantine(vm).getHeldMs(POISON) > 0) continue;
+        if (fleet.getQuarantine(vm).getQuarantineMs(POISON) > 0) continue;
         sentAt.push(clock.now());
         await clock.run(random.nextInt(300));
         fleet.endReplica([[vm, POISON], [random.nextInt(8), HARMLESS]]);
@@ -94,7 +94,7 @@
     fleet.isCut = () => true;
     fleet.getQuarantine(0).noteAnswered(HARMLESS);
     await fleet.clock.run(NEWS_MS);
-    expect(fleet.getQuarantine(1).getHeldMs(HARMLESS)).toBeGreaterThan(0);
+    expect(fleet.getQuarantine(1).getQuarantineMs(HARMLESS)).toBeGreaterThan(0);
     fleet.isCut = () => false;
     await fleet.clock.run(KNOWN_WITHIN_MS);
     expect(fleet.getQuarantine(1).isSuspect(HARMLESS)).toBe(false);
@@ -108,7 +108,7 @@
     for (const vm of [0, 1, 2, 3]) fleet.endReplica([[vm, HARMLESS]]);
     await fleet.clock.run(KNOWN_WITHIN_MS);
     for (let vm = 0; vm < 8; vm++) {
-      expect(fleet.getQuarantine(vm).getHeldMs(HARMLESS)).toBe(0);
+      expect(fleet.getQuarantine(vm).getQuarantineMs(HARMLESS)).toBe(0);
     }
   });
 
@@ -140,7 +140,7 @@
     hadOutput: true,
   };
   for (let index = 0; index < 20; index++) {
-    void quarantine.noteBreak(toId(`request-${index}`), replica);
+    void quarantine.noteConnectionLoss(toId(`request-${index}`), replica);
   }
   await clock.run(NEWS_MS);
   expect(quarantine.countSuspects()).toBe(20);
--- a/test/process/request_stores_test.ts
+++ b/test/process/request_stores_test.ts
@@ -1,22 +1,22 @@
 import { describe, expect, it } from "vitest";
 import { type PoolName, type RequestId, toId } from "../../src/ids.ts";
 import { AnswerStore } from "../../src/process/answer_store.ts";
-import { FateStore } from "../../src/process/fate_store.ts";
+import { RequestStatusStore } from "../../src/process/request_status_store.ts";
 import { WindowRetryBudget } from "../../src/process/retry_budget.ts";
-import type { FateRecord } from "../../src/request/fate.ts";
+import type { RequestStatus } from "../../src/request/request_status.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 import { buildRunningRecord } from "../support/fate_examples.ts";
 
 const POOL = toId<PoolName>("pool");
 const END = { outcome: "answered" as const, code: undefined, tokens: 3 };
 
-function buildRecord(id: string): FateRecord {
+function buildRecord(id: string): RequestStatus {
   return buildRunningRecord(toId<RequestId>(id));
 }
 
 describe("the fate store", () => {
   it("keeps running records before finished ones", () => {
-    const fates = FateStore.create({ maxRecords: 3 });
+    const fates = RequestStatusStore.create({ maxRecords: 3 });
     const ids = ["a", "b", "c", "d", "e"].map((id) => toId<RequestId>(id));
     ids.slice(0, 3).forEach((id) => fates.start(buildRecord(id)));
     fates.end(ids[1]!, END);
@@ -29,7 +29,7 @@
   });
 
   it("bounds steps and bytes, and says how many steps it left out", () => {
-    const fates = FateStore.create({ maxBytes: 100_000 });
+    const fates = RequestStatusStore.create({ maxBytes: 100_000 });
     const id = toId<RequestId>("a");
     fates.start(buildRecord("a"));
     for (let ageMs = 0; ageMs < 100; ageMs++) {
@@ -48,7 +48,7 @@
   });
 
   it("keeps the steps of a run before the one that follows it", () => {
-    const fates = FateStore.create();
+    const fates = RequestStatusStore.create();
     const id = toId<RequestId>("a");
     for (const detail of ["first", "second"]) {
       fates.start(buildRecord("a"));
@@ -88,7 +88,7 @@
     let retries = 0;
     for (let second = 0; second < 60; second++) {
       for (let tries = 0; tries < 20; tries++) {
-        budget.noteFirstTry(POOL);
+        budget.noteFirstAttempt(POOL);
         while (budget.takeRetry(POOL)) retries++;
       }
       await clock.run(1_000);
--- a/test/process/scheduler/admission_test.ts
+++ b/test/process/scheduler/admission_test.ts
@@ -1,20 +1,20 @@
 import { describe, expect, test } from "vitest";
 import { toId } from "../../../src/ids.ts";
 import type { AcquireCall } from "../../../src/process/peer_api.ts";
-import { RetryTimes } from "../../../src/process/scheduler/admission.ts";
+import { RetrySchedule } from "../../../src/process/scheduler/admission.ts";
 import {
   MIN_SAMPLES,
   OutputLengths,
 } from "../../../src/process/scheduler/output_lengths.ts";
 import {
-  ServiceSpeed,
-  SPEED_VALID_MS,
-} from "../../../src/process/scheduler/service_speed.ts";
+  MAX_SAMPLE_AGE_MS,
+  ServiceTimes,
+} from "../../../src/process/scheduler/service_times.ts";
 import {
   buildCall,
   buildClass,
-  createOwnerBench,
-  type OwnerBench,
+  createOwnerHarness,
+  type OwnerHarness,
   runSlots,
 } from "./fixtures.ts";
 
@@ -25,9 +25,9 @@
 const HOLD_MS = 1_000;
 
 /** Teaches the owner: each request takes a second and ten tokens. */
-async function runSamples(bench: OwnerBench): Promise<void> {
+async function runSamples(bench: OwnerHarness): Promise<void> {
   for (let round = 0; round < MIN_SAMPLES + 1; round++) {
-    const call = bench.ask(buildChat());
+    const call = bench.acquire(buildChat());
     await bench.clock.run(HOLD_MS);
     bench.release(call, {
       tokens: 10,
@@ -43,7 +43,7 @@
 
 describe("early refusal", () => {
   test("refuses at once what cannot finish, and says when to come back", async () => {
-    const bench = await createOwnerBench({ classes: [CHAT] });
+    const bench = await createOwnerHarness({ classes: [CHAT] });
     await runSamples(bench);
     const kinds: string[] = [];
     let retryAfterMs = 0;
@@ -67,10 +67,10 @@
   });
 
   test("lets a caller in that comes back when it was told to", async () => {
-    const bench = await createOwnerBench({ classes: [CHAT] });
+    const bench = await createOwnerHarness({ classes: [CHAT] });
     await runSamples(bench);
     const calls = Array.from({ length: 6 }, buildChat);
-    for (const call of calls) bench.ask(call);
+    for (const call of calls) bench.acquire(call);
     await bench.clock.run(1);
     const refused = await bench.owner.acquire(buildChat());
     expect(refused.kind).toBe("refused");
@@ -81,7 +81,7 @@
       betweenTokensMs: 100,
       calls,
     });
-    const again = bench.ask(buildChat());
+    const again = bench.acquire(buildChat());
     await bench.clock.run(1);
     expect(bench.refused.has(again.ticket)).toBe(false);
     // The time is no longer than it must be.
@@ -96,11 +96,11 @@
     const chat = buildClass("chat", { lateIsUseful: false });
     chat.targets.firstTokenMs = 2_500;
     chat.targets.totalMs = 60_000;
-    const bench = await createOwnerBench({ classes: [chat] });
+    const bench = await createOwnerHarness({ classes: [chat] });
     await runSamples(bench);
     const buildLong = () => buildCall("chat", { deadlineInMs: 60_000 });
     const calls = Array.from({ length: 8 }, buildLong);
-    for (const call of calls) bench.ask(call);
+    for (const call of calls) bench.acquire(call);
     await bench.clock.run(1);
     // One runs and two wait at a second each; a third would start after 3 s.
     const refused = calls.filter(({ ticket }) => bench.refused.has(ticket));
@@ -120,12 +120,14 @@
     });
     low.targets.firstTokenMs = 5_000;
     low.targets.totalMs = 5_000;
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [low, buildClass("documents")],
     });
     await runSamples(bench);
     // Cold guess of a document: half of its targets, 1 s and 100 times 25 ms.
-    for (let count = 0; count < 4; count++) bench.ask(buildCall("documents"));
+    for (let count = 0; count < 4; count++) {
+      bench.acquire(buildCall("documents"));
+    }
     await bench.clock.run(1);
     const answer = await bench.owner.acquire(buildChat());
     expect(answer.kind).toBe("refused");
@@ -136,26 +138,26 @@
 
   test("refuses nothing of a class whose late answers are useful", async () => {
     const late = buildClass("chat", { lateIsUseful: true });
-    const bench = await createOwnerBench({ classes: [late] });
+    const bench = await createOwnerHarness({ classes: [late] });
     await runSamples(bench);
-    for (let count = 0; count < 20; count++) bench.ask(buildChat());
+    for (let count = 0; count < 20; count++) bench.acquire(buildChat());
     await bench.clock.run(1);
     expect(bench.refused.size).toBe(0);
   });
 
   test("refuses nothing before anything is learnt", async () => {
-    const bench = await createOwnerBench({ classes: [CHAT] });
-    for (let count = 0; count < 20; count++) bench.ask(buildChat());
+    const bench = await createOwnerHarness({ classes: [CHAT] });
+    for (let count = 0; count < 20; count++) bench.acquire(buildChat());
     await bench.clock.run(1);
     expect(bench.refused.size).toBe(0);
   });
 
   test("gives up a waiter as soon as it can no longer finish", async () => {
-    const bench = await createOwnerBench({ classes: [CHAT] });
+    const bench = await createOwnerHarness({ classes: [CHAT] });
     await runSamples(bench);
-    const running = bench.ask(buildChat());
+    const running = bench.acquire(buildChat());
     await bench.clock.run(1);
-    const waiting = bench.ask(buildChat());
+    const waiting = bench.acquire(buildChat());
     // The lease of the first is renewed and never returned.
     for (let waited = 0; waited < 4_300; waited += 500) {
       await bench.clock.run(500);
@@ -215,20 +217,20 @@
   // while, everything is refused, it recovers. Cause: without new samples the
   // slow figure stays.
   test("is no ground for refusing once it is old", () => {
-    const speed = ServiceSpeed.create();
+    const speed = ServiceTimes.create();
     for (let count = 0; count < 10; count++) {
       speed.record({
         className: CHAT.name,
         firstTokenMs: 100,
         betweenTokensMs: 1_000,
-        heldMs: 10_000,
+        slotMs: 10_000,
         now: 0,
       });
     }
     const options = { tokens: 10, hasTokens: true };
     expect(speed.computeGuess(CHAT, { ...options, now: 1_000 }).learnt)
       .toBe(true);
-    const later = SPEED_VALID_MS + 1;
+    const later = MAX_SAMPLE_AGE_MS + 1;
     expect(speed.computeGuess(CHAT, { ...options, now: later }).learnt)
       .toBe(false);
   });
@@ -239,8 +241,8 @@
   // Sequence: a burst is refused in one moment. Cause: all are told the same
   // time.
   test("gives each refused caller a place of its own", () => {
-    const times = RetryTimes.create();
-    const options = { now: 1_000, waitMs: 2_000, everyMs: 500 };
+    const times = RetrySchedule.create();
+    const options = { now: 1_000, waitMs: 2_000, intervalMs: 500 };
     const told = [0, 1, 2].map(() => times.take("chat", options));
     expect(told).toEqual([2_000, 2_500, 3_000]);
   });
--- a/test/process/scheduler/fixtures.ts
+++ b/test/process/scheduler/fixtures.ts
@@ -13,7 +13,7 @@
 import { MembershipView } from "../../../src/process/membership_view.ts";
 import type {
   AcquireCall,
-  LeaseNews,
+  LeaseUpdate,
   PeerApi,
   ShardSummary,
 } from "../../../src/process/peer_api.ts";
@@ -52,7 +52,7 @@
   }
 
   /** The process stood still for `ms`: no timer fired meanwhile. */
-  addPause(ms: number): void {
+  addClockJump(ms: number): void {
     this.#offset += ms;
   }
 }
@@ -222,7 +222,7 @@
     return Promise.resolve([]);
   }
 
-  sendOrder(): Promise<boolean> {
+  sendCommand(): Promise<boolean> {
     return Promise.resolve(true);
   }
 
@@ -321,7 +321,7 @@
 }
 
 /** One owner with its upstreams, past the settling time. */
-export interface OwnerBench {
+export interface OwnerHarness {
   clock: JumpingClock;
   owner: ShardOwner;
   upstreams: ListedVm[];
@@ -331,14 +331,14 @@
   /** Refusal codes by ticket. */
   refused: Map<string, string>;
   /** Leases by ticket, to give back. */
-  leases: Map<string, LeaseNews>;
-  ask: (call: AcquireCall) => AcquireCall;
-  release: (call: AcquireCall, changes?: Partial<LeaseNews>) => void;
+  leases: Map<string, LeaseUpdate>;
+  acquire: (call: AcquireCall) => AcquireCall;
+  release: (call: AcquireCall, changes?: Partial<LeaseUpdate>) => void;
 }
 
-export interface OwnerBenchParts extends SnapshotParts {
+export interface OwnerHarnessOptions extends SnapshotParts {
   replicas?: number;
-  decisions?: Partial<SchedulerDecisions>;
+  features?: Partial<SchedulerDecisions>;
   queueBound?: number;
   settle?: boolean;
   /** Entry VMs whose announcements end settling. */
@@ -347,9 +347,9 @@
   others?: ShardSummary[];
 }
 
-export async function createOwnerBench(
-  parts: OwnerBenchParts,
-): Promise<OwnerBench> {
+export async function createOwnerHarness(
+  parts: OwnerHarnessOptions,
+): Promise<OwnerHarness> {
   const clock = JumpingClock.create();
   const snapshot = buildSnapshot(parts);
   const upstreams = Array.from(
@@ -363,13 +363,13 @@
     pool: [...snapshot.pools.values()][0]!,
     getSnapshot: () => snapshot,
     listUpstreams: () => upstreams,
-    decisions: parts.decisions,
+    features: parts.features,
     queueBound: parts.queueBound,
-    listHolders: () => (parts.holders ?? []).map((vm) => toId<VmId>(vm)),
-    listOthers: () => parts.others ?? [],
+    listLeaseHolders: () => (parts.holders ?? []).map((vm) => toId<VmId>(vm)),
+    listOtherShards: () => parts.others ?? [],
   });
   if (parts.settle !== false) await clock.run(2_100);
-  const bench: OwnerBench = {
+  const bench: OwnerHarness = {
     clock,
     owner,
     upstreams,
@@ -377,14 +377,14 @@
     granted: [],
     refused: new Map(),
     leases: new Map(),
-    ask: (call) => {
+    acquire: (call) => {
       void owner.acquire(call).then((answer) => {
         if (answer.kind === "refused") {
           bench.refused.set(call.ticket, answer.refusal.code);
         }
         if (answer.kind !== "granted") return;
         bench.granted.push(call.ticket);
-        bench.leases.set(call.ticket, buildNews(call, answer.lease));
+        bench.leases.set(call.ticket, buildLeaseUpdate(call, answer.lease));
       });
       return call;
     },
@@ -403,7 +403,7 @@
 
 /** Runs for `ms`, giving each lease back `holdMs` after it was granted. */
 export async function runSlots(
-  bench: OwnerBench,
+  bench: OwnerHarness,
   options: {
     ms: number;
     holdMs: number;
@@ -432,10 +432,10 @@
   }
 }
 
-export function buildNews(
+export function buildLeaseUpdate(
   call: AcquireCall,
-  slot: { lease: LeaseNews["lease"]; upstream: VmId },
-): LeaseNews {
+  slot: { lease: LeaseUpdate["lease"]; upstream: VmId },
+): LeaseUpdate {
   return {
     lease: slot.lease,
     ticket: call.ticket,
--- a/test/process/scheduler/lease_client_test.ts
+++ b/test/process/scheduler/lease_client_test.ts
@@ -112,7 +112,7 @@
     const fleet = await createFleet({ vms: 3, replicas: 1 });
     const held = fleet.ask(fleet.listOthers()[0]!);
     await fleet.clock.run(50);
-    fleet.clock.addPause(10_000);
+    fleet.clock.addClockJump(10_000);
     expect(held.lease!.isValid()).toBe(false);
     fleet.stop();
   });
@@ -314,7 +314,7 @@
     await fleet.clock.run(50);
     const waiting = others.map((vm) => fleet.ask(vm));
     await fleet.clock.run(100);
-    fleet.clock.addPause(10_000);
+    fleet.clock.addClockJump(10_000);
     await fleet.clock.run(850);
     // The answers to the calls that were held meanwhile are lost.
     fleet.silent.add(owner.id);
--- a/test/process/scheduler/local_room_test.ts
+++ b/test/process/scheduler/local_upstream_limits_test.ts
@@ -1,13 +1,16 @@
 import { expect, it } from "vitest";
 import { toId, type VmId } from "../../../src/ids.ts";
-import { LocalRoom } from "../../../src/process/scheduler/local_room.ts";
+import { LocalUpstreamLimits } from "../../../src/process/scheduler/local_upstream_limits.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 const UPSTREAM = toId<VmId>("upstream-0");
 const STEP_MS = 50;
 const LIMIT_PER_S = 4;
 
-function note(room: LocalRoom, requestsPerS: number | undefined): void {
+function note(
+  room: LocalUpstreamLimits,
+  requestsPerS: number | undefined,
+): void {
   room.noteSignals(UPSTREAM, {
     requestsPerS,
     isLeaving: false,
@@ -19,11 +22,11 @@
 // Guards against each VM using the whole limit while no owner answers.
 it("a VM without an owner keeps to its part of a limit", async () => {
   const clock = VirtualClock.create();
-  const room = LocalRoom.create(clock);
+  const room = LocalUpstreamLimits.create(clock);
   note(room, LIMIT_PER_S);
   let sent = 0;
   for (let at = 0; at < 20_000; at += STEP_MS) {
-    if (room.hasRoom(UPSTREAM, 1 / 8)) {
+    if (room.canSend(UPSTREAM, 1 / 8)) {
       room.addSent(UPSTREAM);
       sent += 1;
     }
@@ -34,8 +37,8 @@
 });
 
 it("a limit ends with an answer that names none, or with its upstream", () => {
-  const room = LocalRoom.create(VirtualClock.create());
-  const isOpen = () => room.hasRoom(UPSTREAM, 1);
+  const room = LocalUpstreamLimits.create(VirtualClock.create());
+  const isOpen = () => room.canSend(UPSTREAM, 1);
   note(room, LIMIT_PER_S);
   room.addSent(UPSTREAM);
   note(room, undefined);
@@ -50,8 +53,8 @@
 
 it("an upstream that asks to back off gets nothing until then", async () => {
   const clock = VirtualClock.create();
-  const room = LocalRoom.create(clock);
-  const isOpen = () => room.hasRoom(UPSTREAM, 1);
+  const room = LocalUpstreamLimits.create(clock);
+  const isOpen = () => room.canSend(UPSTREAM, 1);
   room.noteSignals(UPSTREAM, {
     requestsPerS: undefined,
     isLeaving: false,
--- a/test/process/scheduler/naive_queue.ts
+++ b/test/process/scheduler/naive_queue.ts
@@ -183,7 +183,7 @@
 
   #listByAge(entry: QueueEntry): QueueEntry[] {
     return this.#listClass(entry).sort((left, right) =>
-      left.arrivedAt - right.arrivedAt || left.order - right.order
+      left.arrivedAt - right.arrivedAt || left.sequence - right.sequence
     );
   }
 
@@ -192,7 +192,9 @@
   }
 
   #listLane(entry: QueueEntry): QueueEntry[] {
-    return this.#listClass(entry).filter((one) => one.lane === entry.lane);
+    return this.#listClass(entry).filter((one) =>
+      one.modelKey === entry.modelKey
+    );
   }
 
   #findClass(name: string) {
@@ -201,7 +203,7 @@
   }
 
   #getLane(entry: QueueEntry): LaneState {
-    const key = `${entry.className}/${entry.lane}`;
+    const key = `${entry.className}/${entry.modelKey}`;
     let lane = this.#lanes.get(key);
     if (lane === undefined) {
       lane = {
@@ -234,5 +236,5 @@
   const byTime = leftLate
     ? left.arrivedAt - right.arrivedAt
     : left.startBy - right.startBy;
-  return byTime || left.order - right.order;
+  return byTime || left.sequence - right.sequence;
 }
--- a/test/process/scheduler/preemption_test.ts
+++ b/test/process/scheduler/preemption_test.ts
@@ -10,7 +10,7 @@
   buildCall,
   buildClass,
   buildPool,
-  createOwnerBench,
+  createOwnerHarness,
 } from "./fixtures.ts";
 
 const WISH: PreemptionWish = {
@@ -31,11 +31,11 @@
     workspace: toId("workspace"),
     rank: 2,
     weight: 1,
-    lane: "model",
+    modelKey: "model",
     idempotent: true,
     isLong: false,
     isPromoted: false,
-    granted: true,
+    isOwnGrant: true,
     doneTokens: 0,
     promptTokens: 100,
     grantedAt: 0,
@@ -87,7 +87,7 @@
     ["work that may run once only", { idempotent: false }],
     ["work that was resumed already", { doneTokens: 10 }],
     ["work that was stopped already", { preempted: true }],
-    ["leases of another owner", { granted: false }],
+    ["leases of another owner", { isOwnGrant: false }],
   ])("never takes %s", (_name, changes) => {
     expect(choose([buildLease(changes)])).toBeUndefined();
   });
@@ -120,15 +120,15 @@
       maxOutputTokens: 100_000,
     });
     low.targets.totalMs = 600_000;
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [high, low],
       pool: buildPool(),
     });
-    const running = bench.ask(
+    const running = bench.acquire(
       buildCall("low", { maxTokens: 100_000, deadlineInMs: 1e9 }),
     );
     await bench.clock.run(10);
-    const waiting = bench.ask(buildCall("high"));
+    const waiting = bench.acquire(buildCall("high"));
     await bench.clock.run(300);
     const news = bench.leases.get(running.ticket)!;
     const sync = {
--- a/test/process/scheduler/replica_test.ts
+++ b/test/process/scheduler/replica_test.ts
@@ -11,7 +11,7 @@
 } from "../../../src/process/scheduler/replica.ts";
 import {
   chooseReplica,
-  type ReplicaWish,
+  type ReplicaRequirements,
 } from "../../../src/process/scheduler/replica_choice.ts";
 import { SlotLimit } from "../../../src/process/scheduler/slot_limit.ts";
 import { buildReport } from "./fixtures.ts";
@@ -20,7 +20,7 @@
 const CHAT = toId<ClassName>("chat");
 const DOCUMENT = toId<ClassName>("document");
 
-const WISH: ReplicaWish = {
+const WISH: ReplicaRequirements = {
   model: "model",
   adapter: undefined,
   prefixes: [],
@@ -104,7 +104,7 @@
     const report = buildReport({ running: 3 });
     replica.noteReport(report, { ageMs: 1_500, now: 3_000 });
     expect(replica.foreign).toBe(0);
-    expect(replica.room).toBe(4);
+    expect(replica.freeSlots).toBe(4);
   });
 
   test("leaves room for work that the ledger does not know", () => {
@@ -112,9 +112,9 @@
     replica.setInUse(1, 1_000);
     const report = buildReport({ running: 3 });
     replica.noteReport(report, { ageMs: 100, now: 2_000 });
-    expect(replica.room).toBe(1);
+    expect(replica.freeSlots).toBe(1);
     replica.update(2_000 + MAX_REPORT_AGE_MS + 1);
-    expect(replica.room).toBe(3);
+    expect(replica.freeSlots).toBe(3);
   });
 
   test("ignores a report older than its bound", () => {
@@ -122,7 +122,7 @@
     const report = buildReport({ running: 4 });
     const ageMs = MAX_REPORT_AGE_MS + 1;
     replica.noteReport(report, { ageMs, now: 10_000 });
-    expect(replica.room).toBe(4);
+    expect(replica.freeSlots).toBe(4);
   });
 
   test("believes the upstream's own word that it leaves, not an older one", () => {
@@ -131,7 +131,7 @@
     replica.noteReport(leaving, { ageMs: 0, now: 1_000 });
     replica.noteReport(buildReport(), { ageMs: 500, now: 1_100 });
     expect(replica.leaving).toBe(true);
-    expect(chooseReplica([replica], { wish: WISH, now: 1_100 }))
+    expect(chooseReplica([replica], { requirements: WISH, now: 1_100 }))
       .toBeUndefined();
   });
 });
@@ -178,7 +178,9 @@
     const replicas = buildReplicas(3);
     replicas[2]!.cache.noteRouted(["a", "b"]);
     const wish = { ...WISH, prefixes: ["a", "b"] };
-    expect(chooseReplica(replicas, { wish, now: 0 })).toBe(replicas[2]);
+    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).toBe(
+      replicas[2],
+    );
   });
 
   // Symptom: one replica is full while others idle. Sequence: one prompt
@@ -188,7 +190,9 @@
     replicas[2]!.cache.noteRouted(["a"]);
     replicas[2]!.setInUse(3, 0);
     const wish = { ...WISH, prefixes: ["a"] };
-    expect(chooseReplica(replicas, { wish, now: 0 })).not.toBe(replicas[2]);
+    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).not.toBe(
+      replicas[2],
+    );
   });
 
   test("asks for the model, the adapter and a replica not to be avoided", () => {
@@ -198,10 +202,12 @@
     });
     replicas[0]!.noteReport(other, { ageMs: 0, now: 0 });
     const wish = { ...WISH, avoid: [replicas[1]!.id] };
-    expect(chooseReplica(replicas, { wish, now: 0 })).toBe(replicas[2]);
+    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).toBe(
+      replicas[2],
+    );
     const adapted = { ...wish, adapter: "adapter" };
     replicas[2]!.noteReport(buildReport(), { ageMs: 0, now: 0 });
-    expect(chooseReplica(replicas, { wish: adapted, now: 0 }))
+    expect(chooseReplica(replicas, { requirements: adapted, now: 0 }))
       .toBeUndefined();
   });
 });
@@ -215,9 +221,9 @@
     noteLatency(replicas[0]!, 3);
     updateEjections(replicas, 0);
     expect(replicas[0]!.ejected).toBe(true);
-    expect(chooseReplica(replicas, { wish: WISH, now: 100 }))
+    expect(chooseReplica(replicas, { requirements: WISH, now: 100 }))
       .not.toBe(replicas[0]);
-    expect(chooseReplica(replicas, { wish: WISH, now: 3_000 }))
+    expect(chooseReplica(replicas, { requirements: WISH, now: 3_000 }))
       .toBe(replicas[0]);
     noteLatency(replicas[0]!, 0.3);
     updateEjections(replicas, 4_000);
--- a/test/process/scheduler/shard_owner_test.ts
+++ b/test/process/scheduler/shard_owner_test.ts
@@ -4,10 +4,10 @@
 import {
   buildCall,
   buildClass,
-  buildNews,
+  buildLeaseUpdate,
   buildPool,
-  createOwnerBench,
-  type OwnerBench,
+  createOwnerHarness,
+  type OwnerHarness,
   runSlots,
 } from "./fixtures.ts";
 
@@ -16,13 +16,13 @@
 
 /** Asks `count` times, each 1 ms after the one before. */
 async function askMany(
-  bench: OwnerBench,
+  bench: OwnerHarness,
   count: number,
   build: (index: number) => AcquireCall,
 ): Promise<AcquireCall[]> {
   const calls: AcquireCall[] = [];
   for (let index = 0; index < count; index++) {
-    calls.push(bench.ask(build(index)));
+    calls.push(bench.acquire(build(index)));
     await bench.clock.run(1);
   }
   return calls;
@@ -30,7 +30,7 @@
 
 describe("granting", () => {
   test("grants a free slot at once and the next when it is returned", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [first, second] = await askMany(bench, 2, () => buildCall("high"));
     expect(bench.granted).toEqual([first!.ticket]);
     bench.release(first!);
@@ -39,7 +39,7 @@
   });
 
   test("grants by tier, whatever came first", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH, LOW] });
+    const bench = await createOwnerHarness({ classes: [HIGH, LOW] });
     const [running, low] = await askMany(bench, 2, () => buildCall("low"));
     const [high] = await askMany(bench, 1, () => buildCall("high"));
     bench.release(running!);
@@ -54,7 +54,7 @@
   });
 
   test("answers queued when the hold is over, and keeps the place", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [running] = await askMany(bench, 1, () => buildCall("high"));
     const call = buildCall("high", { holdMs: 500, deadlineInMs: 5_000 });
     const held = bench.owner.acquire(call);
@@ -66,7 +66,7 @@
     );
     await bench.clock.run(500);
     expect((await held).kind).toBe("queued");
-    bench.ask({ ...call, ageMs: 510, deadlineInMs: 4_490 });
+    bench.acquire({ ...call, ageMs: 510, deadlineInMs: 4_490 });
     await bench.clock.run(10);
     bench.release(running!);
     await bench.clock.run(1);
@@ -75,9 +75,9 @@
   });
 
   test("drops a ticket that does not come back", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     await askMany(bench, 1, () => buildCall("high"));
-    bench.ask(buildCall("high", { holdMs: 500 }));
+    bench.acquire(buildCall("high", { holdMs: 500 }));
     await bench.clock.run(400);
     expect(bench.owner.waitingCount).toBe(1);
     await bench.clock.run(2_300);
@@ -90,7 +90,7 @@
   // requests fill the queue, then high ones come. Cause: shedding whatever
   // came last.
   test("sheds low waiters to make room for high ones", async () => {
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH, LOW],
       queueBound: 3,
     });
@@ -107,7 +107,7 @@
   });
 
   test("passes a victim on to a shard that serves a lower tier", async () => {
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH],
       queueBound: 1,
       others: [
@@ -138,7 +138,7 @@
   // queue for minutes. Cause: strict tiers alone never reach the low class.
   test("grants the head of a low class within its bound", async () => {
     const low = buildClass("low", { tier: toId("bronze"), maxWaitMs: 4_000 });
-    const bench = await createOwnerBench({ classes: [HIGH, low] });
+    const bench = await createOwnerHarness({ classes: [HIGH, low] });
     const calls = await askMany(bench, 400, () => buildCall("high"));
     const [waiting] = await askMany(bench, 1, () => buildCall("low"));
     calls.push(waiting!);
@@ -151,7 +151,7 @@
 
   test("never lets low classes take more than half of the slots early", async () => {
     const low = buildClass("low", { tier: toId("bronze"), maxWaitMs: 200 });
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH, low],
       pool: buildPool({ slots: { initial: 4, min: 4, max: 4 } }),
     });
@@ -170,7 +170,7 @@
 
 describe("fair share", () => {
   test("serves a light workspace in the middle of another's burst", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const calls = await askMany(
       bench,
       100,
@@ -187,7 +187,7 @@
   });
 
   test("shares by weight", async () => {
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH],
       weights: { three: 3, one: 1 },
     });
@@ -210,7 +210,7 @@
 describe("crowding", () => {
   test("bounds a class's queue, and takes the burst's last for others", async () => {
     const small = buildClass("small", { queueLimit: 5 });
-    const bench = await createOwnerBench({ classes: [small] });
+    const bench = await createOwnerHarness({ classes: [small] });
     const burst = await askMany(
       bench,
       10,
@@ -229,7 +229,7 @@
   });
 
   test("keeps a tier below its cap of slots", async () => {
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH, LOW],
       pool: buildPool({ slots: { initial: 4, min: 4, max: 4 } }),
       slotShares: { bronze: 0.5 },
@@ -244,7 +244,7 @@
     const short = buildClass("short", { maxOutputTokens: 10 });
     const long = buildClass("long", { maxOutputTokens: 100_000 });
     long.targets.totalMs = 600_000;
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [short, long],
       pool: buildPool({ slots: { initial: 8, min: 8, max: 8 } }),
     });
@@ -266,7 +266,7 @@
   // Symptom: a slot stays in use for ever. Sequence: the holder's VM dies
   // after the grant. Cause: nobody returns the lease.
   test("expire when they are not renewed", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [, second] = await askMany(bench, 2, () => buildCall("high"));
     await bench.clock.run(2_000);
     expect(bench.granted.length).toBe(1);
@@ -278,7 +278,7 @@
   // then a delayed renewal of the same lease. Cause: the renewal is taken for
   // the announcement of an unknown lease.
   test("do not come back by a late renewal", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [call] = await askMany(bench, 1, () => buildCall("high"));
     bench.release(call!);
     expect(bench.owner.leaseCount).toBe(0);
@@ -290,7 +290,7 @@
   // acquire call is delivered twice, the second time after the return. Cause:
   // the repeat is taken for a new ticket.
   test("are not granted to a late repeat of a closed ticket", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [call] = await askMany(bench, 1, () => buildCall("high"));
     bench.release(call!);
     const answer = await bench.owner.acquire(call!);
@@ -299,7 +299,7 @@
   });
 
   test("are told again when the answer was lost", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const call = buildCall("high");
     const first = await bench.owner.acquire(call);
     const second = await bench.owner.acquire(call);
@@ -308,7 +308,7 @@
   });
 
   test("are given up with the ticket that is withdrawn", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [first, second, third] = await askMany(
       bench,
       3,
@@ -330,7 +330,7 @@
   // next one grants before the entry VMs have named their running leases.
   // Cause: an empty ledger is taken for free slots.
   test("grants nothing before it has settled", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH], settle: false });
+    const bench = await createOwnerHarness({ classes: [HIGH], settle: false });
     const [call] = await askMany(bench, 1, () => buildCall("high"));
     await bench.clock.run(1_500);
     expect(bench.granted).toEqual([]);
@@ -339,10 +339,10 @@
   });
 
   test("adopts announced leases, and grants only what they leave", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH], settle: false });
+    const bench = await createOwnerHarness({ classes: [HIGH], settle: false });
     const [call] = await askMany(bench, 1, () => buildCall("high"));
     const earlier = buildCall("high");
-    const news = buildNews(earlier, {
+    const news = buildLeaseUpdate(earlier, {
       lease: toId("lease-of-the-old-owner"),
       upstream: toId("upstream-0"),
     });
@@ -356,7 +356,7 @@
   });
 
   test("settles early once every entry VM has announced", async () => {
-    const bench = await createOwnerBench({
+    const bench = await createOwnerHarness({
       classes: [HIGH],
       settle: false,
       holders: ["entry-0", "entry-1"],
@@ -379,8 +379,8 @@
   // another takes over, the first is continued. Cause: it goes on granting
   // from a ledger of long ago.
   test("settles anew after a pause", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
-    bench.clock.addPause(10_000);
+    const bench = await createOwnerHarness({ classes: [HIGH] });
+    bench.clock.addClockJump(10_000);
     const [call] = await askMany(bench, 1, () => buildCall("high"));
     await bench.clock.run(1_500);
     expect(bench.granted).toEqual([]);
@@ -389,9 +389,9 @@
   });
 
   test("keeps its leases over a pause until holders could renew", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [held, waiting] = await askMany(bench, 2, () => buildCall("high"));
-    bench.clock.addPause(10_000);
+    bench.clock.addClockJump(10_000);
     await bench.clock.run(500);
     bench.release(held!, { state: "running" });
     await bench.clock.run(2_500);
@@ -399,17 +399,17 @@
   });
 
   test("hands queue and ledger over with the waiters' ages", async () => {
-    const old = await createOwnerBench({ classes: [HIGH] });
+    const old = await createOwnerHarness({ classes: [HIGH] });
     const [held, waiting] = await askMany(old, 2, () => buildCall("high"));
     await old.clock.run(1_000);
     old.release(held!, { state: "running" });
     const call = old.owner.buildHandOver();
     expect(call.waiters[0]!.ageMs).toBeGreaterThan(1_000);
     old.owner.stop();
-    const next = await createOwnerBench({ classes: [HIGH], settle: false });
+    const next = await createOwnerHarness({ classes: [HIGH], settle: false });
     next.owner.takeHandOver(call);
     expect(next.owner.leaseCount).toBe(1);
-    next.ask(waiting!);
+    next.acquire(waiting!);
     next.owner.syncLeases({
       from: held!.from,
       shard: held!.shard,
@@ -423,7 +423,7 @@
 
 describe("upstreams", () => {
   test("that leave by the list get nothing new", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH], replicas: 2 });
+    const bench = await createOwnerHarness({ classes: [HIGH], replicas: 2 });
     bench.upstreams.splice(0, 1);
     bench.owner.onTopologyChange();
     await askMany(bench, 2, () => buildCall("high"));
@@ -433,7 +433,7 @@
   });
 
   test("that went away altogether refuse the waiters in time", async () => {
-    const bench = await createOwnerBench({ classes: [HIGH] });
+    const bench = await createOwnerHarness({ classes: [HIGH] });
     const [, waiting] = await askMany(bench, 2, () => buildCall("high"));
     bench.upstreams.splice(0, 1);
     bench.owner.onTopologyChange();
--- a/test/process/scheduler/small_fleet.ts
+++ b/test/process/scheduler/small_fleet.ts
@@ -86,7 +86,7 @@
         environment,
         membership,
         getSnapshot,
-        decisions: { loadReports: false },
+        features: { loadReports: false },
       });
       const client = LeaseClient.create({
         environment,
--- a/test/process/scheduler/waiting_queue_test.ts
+++ b/test/process/scheduler/waiting_queue_test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, test } from "vitest";
 import { type ClassName, toId } from "../../../src/ids.ts";
 import { DUE_SHARE } from "../../../src/process/scheduler/class_queue.ts";
-import { buildDecisions } from "../../../src/process/scheduler/decisions.ts";
+import { buildFeatures } from "../../../src/process/scheduler/scheduler_features.ts";
 import type { QueueEntry } from "../../../src/process/scheduler/waiter.ts";
 import {
   type GrantFilter,
@@ -103,15 +103,15 @@
     ticket: toId(`ticket-${order}`),
     className: toId<ClassName>(kind.name),
     workspace: toId(`workspace-${seed.workspace}`),
-    lane: LANES[seed.lane]!,
+    modelKey: LANES[seed.lane]!,
     rank: kind.rank,
     requestClass: buildClass(kind.name, kind as never),
     weight: 1 + seed.workspace % 2,
     arrivedAt: now - seed.agedMs,
-    order,
+    sequence: order,
     startBy: now + seed.startsIn,
-    giveUpAt: Infinity,
-    wasStarted: false,
+    dropAt: Infinity,
+    isResumed: false,
     cost: seed.cost,
     isCostLearnt: seed.isLearnt,
     slotMs: seed.slotMs,
@@ -124,7 +124,7 @@
   return {
     isOpen: (rank) => rank !== step.closedRank,
     canPromote: () => step.promote,
-    accepts: (entry) => step.lanes[LANES.indexOf(entry.lane)]!,
+    accepts: (entry) => step.lanes[LANES.indexOf(entry.modelKey)]!,
   };
 }
 
@@ -133,7 +133,7 @@
   steps: Step[],
   decisions: { fairShare: boolean; progress: boolean },
 ): void {
-  const queue = WaitingQueue.create<QueueEntry>(buildDecisions(decisions));
+  const queue = WaitingQueue.create<QueueEntry>(buildFeatures(decisions));
   const naive = new NaiveQueue(decisions);
   const granted: QueueEntry[] = [];
   let now = 0;
@@ -217,11 +217,11 @@
     const seeds = fc.array(SEED, { minLength: 1, maxLength: 40 });
     fc.assert(
       fc.property(seeds, (run) => {
-        const queue = WaitingQueue.create<QueueEntry>(buildDecisions());
+        const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
         run.forEach((seed, order) => queue.add(buildEntry(seed, 0, order), 0));
         while (queue.size > 0) {
           const ranks = [...queue.list()].map((entry) => entry.rank);
-          const victim = queue.findVictim()!;
+          const victim = queue.findShedVictim()!;
           expect(victim.rank).toBe(Math.max(...ranks));
           queue.remove(victim, 0);
         }
@@ -231,7 +231,7 @@
   });
 
   test("sheds the head of a class last of its tier", () => {
-    const queue = WaitingQueue.create<QueueEntry>(buildDecisions());
+    const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
       lane: 0,
@@ -245,7 +245,7 @@
     queue.add(buildEntry({ ...seed, kind: 1 }, 0, 1), 0);
     queue.add(buildEntry({ ...seed, kind: 1 }, 0, 2), 0);
     queue.add(only, 0);
-    expect(queue.findVictim()?.order).toBe(2);
+    expect(queue.findShedVictim()?.sequence).toBe(2);
   });
 });
 
@@ -254,7 +254,7 @@
   // more waiting than there are slots. Cause: strict tiers alone never reach
   // the class.
   test("grants each head of a low class within its wait bound", () => {
-    const queue = WaitingQueue.create<QueueEntry>(buildDecisions());
+    const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
       lane: 0,
@@ -287,7 +287,7 @@
   });
 
   test("gives a low class its minimum share and no more", () => {
-    const queue = WaitingQueue.create<QueueEntry>(buildDecisions());
+    const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
       lane: 0,
--- a/test/process/seeded_fleet/recently_lapsed_test.ts
+++ b/test/process/seeded_fleet/recently_expired_test.ts
@@ -5,7 +5,7 @@
   ReplicaList,
 } from "../../../src/process/placement/replica_list.ts";
 import { ReplicaDirectory } from "../../../src/process/placement/replica_list.ts";
-import { RecentlyLapsed } from "../../../src/process/seeded_fleet/recently_lapsed.ts";
+import { RecentlyExpired } from "../../../src/process/seeded_fleet/recently_expired.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 function buildReplica(id: string): ListedReplica {
@@ -35,7 +35,7 @@
   // Cause: a store without news was taken for a store that was away.
   it("are gone at once where the store was never away", async () => {
     const clock = VirtualClock.create();
-    const lapsed = RecentlyLapsed.create(clock);
+    const lapsed = RecentlyExpired.create(clock);
     await clock.run(5_000);
     const list = lapsed.apply(buildList(2, ["b"]), buildList(1, ["a", "b"]));
     expect(listIds(list)).toEqual(["b"]);
@@ -47,7 +47,7 @@
   // Cause: the first list after its return was taken at its word.
   it("are kept for two seconds after the store was away", async () => {
     const clock = VirtualClock.create();
-    const lapsed = RecentlyLapsed.create(clock);
+    const lapsed = RecentlyExpired.create(clock);
     const directory = ReplicaDirectory.create();
     directory.apply(buildList(1, ["a", "b"]));
     lapsed.noteReturn(4_000);
@@ -63,7 +63,7 @@
   });
 
   it("are not kept after a short silence", () => {
-    const lapsed = RecentlyLapsed.create(VirtualClock.create());
+    const lapsed = RecentlyExpired.create(VirtualClock.create());
     lapsed.noteReturn(300);
     const list = lapsed.apply(buildList(2, []), buildList(1, ["a"]));
     expect(listIds(list)).toEqual([]);
--- a/test/process/unreadable_signals_test.ts
+++ b/test/process/unreadable_header_log_test.ts
@@ -1,13 +1,13 @@
 import { expect, it } from "vitest";
 import { toId, type VmId } from "../../src/ids.ts";
-import { UnreadableSignals } from "../../src/process/unreadable_signals.ts";
+import { UnreadableHeaderLog } from "../../src/process/unreadable_header_log.ts";
 import { FakeLog } from "../support/request_fakes.ts";
 
 const REPLICA = toId<VmId>("r-1");
 
 it("writes a line for each value and not for each answer", () => {
   const log = new FakeLog();
-  const unreadable = UnreadableSignals.create(log);
+  const unreadable = UnreadableHeaderLog.create(log);
   for (const value of ["many", "many", "-1", "x".repeat(500)]) {
     unreadable.note(REPLICA, [{ name: "server-limit", value }]);
   }
--- a/test/support/fate_examples.ts
+++ b/test/support/fate_examples.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import { type RequestId, toId, type VmId } from "../../src/ids.ts";
-import type { FateRecord } from "../../src/request/fate.ts";
+import type { RequestStatus } from "../../src/request/request_status.ts";
 
 /** The record of a request that runs and has taken no step yet. */
-export function buildRunningRecord(requestId: RequestId): FateRecord {
+export function buildRunningRecord(requestId: RequestId): RequestStatus {
   return {
     requestId,
     vm: toId<VmId>("vm-a"),
--- a/test/support/request_fakes.ts
+++ b/test/support/request_fakes.ts
@@ -229,7 +229,7 @@
     return Promise.reject(new Error("Not needed"));
   }
 
-  sendOrder(): Promise<never> {
+  sendCommand(): Promise<never> {
     return Promise.reject(new Error("Not needed"));
   }
 
--- a/test/support/request_vm.ts
+++ b/test/support/request_vm.ts
@@ -8,20 +8,20 @@
 import type { ClassName, TierName, WorkspaceName } from "../../src/ids.ts";
 import { AnswerStore } from "../../src/process/answer_store.ts";
 import type { Clock } from "../../src/process/clock.ts";
-import { FateFinder } from "../../src/process/fate_finder.ts";
-import { FateStore } from "../../src/process/fate_store.ts";
+import { RequestStatusFinder } from "../../src/process/request_status_finder.ts";
+import { RequestStatusStore } from "../../src/process/request_status_store.ts";
 import type {
   ClaimAnswer,
   ClaimCall,
-  FateAnswer,
-  FateCall,
   PeerApi,
+  RequestStatusAnswer,
+  RequestStatusCall,
   SettleCall,
 } from "../../src/process/peer_api.ts";
 import { RequestQuarantine } from "../../src/process/quarantine/index.ts";
 import { WindowRetryBudget } from "../../src/process/retry_budget.ts";
-import { UnreadableSignals } from "../../src/process/unreadable_signals.ts";
-import { ProcessRunClaims } from "../../src/process/run_claims.ts";
+import { UnreadableHeaderLog } from "../../src/process/unreadable_header_log.ts";
+import { ProcessExecutionClaims } from "../../src/process/execution_claims.ts";
 import type { CallerRequest } from "../../src/request/caller_request.ts";
 import { RequestRouter } from "../../src/request/router.ts";
 import { computeKeyHash } from "../../src/version/keys.ts";
@@ -51,11 +51,11 @@
   readonly limits = new FakeLimits();
   readonly metrics = new FakeMetrics();
   readonly log = new FakeLog();
-  readonly fates = FateStore.create();
+  readonly fates = RequestStatusStore.create();
   readonly quarantine: RequestQuarantine;
   readonly answers = AnswerStore.create();
-  readonly claims: ProcessRunClaims;
-  readonly finder: FateFinder;
+  readonly claims: ProcessExecutionClaims;
+  readonly finder: RequestStatusFinder;
   readonly router: RequestRouter;
   snapshot: Snapshot | undefined = buildTestSnapshot();
   isDraining = false;
@@ -91,27 +91,32 @@
       isListening: () => Promise.resolve(false),
       announce: () => {},
     });
-    this.claims = ProcessRunClaims.create(environment);
+    this.claims = ProcessExecutionClaims.create(environment);
     const { fates, answers, claims } = this;
-    this.finder = FateFinder.create({ environment, fates, answers, claims });
+    this.finder = RequestStatusFinder.create({
+      environment,
+      fates,
+      answers,
+      claims,
+    });
     this.router = RequestRouter.create({
       environment,
       getSnapshot: () => this.snapshot,
       leases: this.leases,
       limits: this.limits,
       claims,
-      fates,
+      requestStatuses: fates,
       answers,
-      budget: WindowRetryBudget.create({
+      retryBudget: WindowRetryBudget.create({
         clock,
         getShare: () => options.retryShare ?? 1,
       }),
       quarantine: this.quarantine,
-      unreadable: UnreadableSignals.create(environment.log),
+      unreadableHeaders: UnreadableHeaderLog.create(environment.log),
       metrics: this.metrics,
       isDraining: () => this.isDraining,
       entries: () => ({ entries: [] }),
-      findFate: (id, fateOptions) => this.finder.findFate(id, fateOptions),
+      findStatus: (id, fateOptions) => this.finder.findStatus(id, fateOptions),
     });
     this.peers.peers.set(environment.vm, this.createPeer());
   }
@@ -132,8 +137,8 @@
         Promise.resolve(this.claims.answerClaim(call)),
       settleRun: (call: SettleCall): Promise<void> =>
         Promise.resolve(this.claims.answerSettle(call)),
-      findFate: (call: FateCall): Promise<FateAnswer> =>
-        this.finder.answerFate(call),
+      findFate: (call: RequestStatusCall): Promise<RequestStatusAnswer> =>
+        this.finder.handleStatusCall(call),
     };
     return peer as PeerApi;
   }
--- a/test/tool/fate_test.ts
+++ b/test/tool/fate_test.ts
@@ -3,8 +3,8 @@
 import { join } from "node:path";
 import { describe, expect, test } from "vitest";
 import { toId } from "../../src/ids.ts";
-import type { FateRecord } from "../../src/request/fate.ts";
-import { formatFatePage } from "../../src/request/fate_page.ts";
+import type { RequestStatus } from "../../src/request/request_status.ts";
+import { formatStatusPage } from "../../src/request/request_status_page.ts";
 import type { LogFields } from "../../src/process/log.ts";
 import { formatLogLine } from "../../src/process/log_line.ts";
 import { buildStory, renderStory } from "../../src/tool/fate_story.ts";
@@ -112,7 +112,7 @@
 });
 
 test("fate reads the page that a VM makes of its record", async () => {
-  const record: FateRecord = {
+  const record: RequestStatus = {
     requestId: toId(ID),
     vm: toId("entry-1"),
     workspace: toId("clinic"),
@@ -126,7 +126,7 @@
     tokens: 0,
   };
   const path = `/v1/requests/${encodeURIComponent(ID)}`;
-  const page = formatFatePage(record);
+  const page = formatStatusPage(record);
   const vm = await FakeVm.startFixed({ [path]: page });
   const run = await runWords(["fate", ID, "--url", vm.url, "--token", "t"]);
   await vm.stop();
