--- a/bench/slopes/order_slopes.ts
+++ b/bench/slopes/order_slopes.ts
@@ -5,7 +5,7 @@
  */
 import { toId } from "../../src/ids.ts";
 import { SilentLog } from "../../src/process/log.ts";
-import { OrderGiver } from "../../src/process/engine_control/index.ts";
+import { EngineController } from "../../src/process/engine_control/index.ts";
 import { SeededRandom } from "../../src/process/random.ts";
 import { listShardUpstreams } from "../../src/process/scheduler/index.ts";
 import {
@@ -38,7 +38,7 @@
   const membership = new FakeMembership();
   membership.entryVms = list.vms.filter(({ role }) => role === "entry");
   membership.upstreams = list.vms.filter(({ role }) => role === "upstream");
-  const giver = OrderGiver.create({
+  const giver = EngineController.create({
     environment: {
       vm: membership.entryVms[0]!.id,
       incarnation: toId("1"),
--- a/bench/support/runtime_fleet.ts
+++ b/bench/support/runtime_fleet.ts
@@ -12,7 +12,7 @@
 import {
   buildShardId,
   buildShardKey,
-  type SchedulerDecisions,
+  type SchedulerFeatures,
 } from "../../src/process/scheduler/index.ts";
 import type { CallerRequest } from "../../src/request/caller_request.ts";
 import type { CallerSink } from "../../src/request/caller_sink.ts";
@@ -38,7 +38,7 @@
   examples: ExampleRecords;
   upstreams: VirtualUpstreams;
   /** Decisions that differ from production. */
-  features: Partial<SchedulerDecisions>;
+  features: Partial<SchedulerFeatures>;
 }
 
 interface FleetVm {
--- a/src/process/engine_control/engine_controller.ts
+++ b/src/process/engine_control/engine_controller.ts
@@ -1,10 +1,11 @@
 /**
- * Gives orders to the engines of the pools that this VM owns by the list.
+ * Sends commands to the engines of the pools that this VM controls.
  *
- * Two givers of one upstream could load different models by turns. A giver is
- * therefore named by the published revision alone: never by a VM's own belief,
- * and never by the records, which may differ between VMs for some seconds. It
- * gives only while that revision was confirmed within `ORDER_LEASE_MS`.
+ * Two controllers of one upstream could load different models by turns. The
+ * controller of a pool therefore follows from the published list alone, not
+ * from the member states that a VM sees, nor from the records, which may differ
+ * between VMs for some seconds. A controller sends commands only while its
+ * revision of the list was confirmed within `COMMAND_LEASE_MS`.
  *
  * @module
  */
@@ -16,68 +17,70 @@
 import type { MembershipView } from "../membership_view.ts";
 import { planCommands, type PlannedCommand } from "./model_placement.ts";
 
-/** How long a confirmed view lets a VM give orders, in milliseconds. */
+/** How long after confirming the list's revision a VM may send commands. */
 export const COMMAND_LEASE_MS = 10_000;
-/** The longest that an order may be on its way, in milliseconds. */
+/** Maximum time that a command may be in transit. */
 export const COMMAND_TRANSIT_MS = 5_000;
-const LEAST_ROUND_MS = 2_000;
+const MIN_ROUND_INTERVAL_MS = 2_000;
 /**
- * What each upstream of the owned pools adds to the time between two rounds,
- * so that a giver asks for at most five reports a second however large the pool.
+ * Time added to the interval between rounds for each upstream, so that a
+ * controller fetches at most five reports a second whatever the pool size.
  */
-const ROUND_MS_PER_UPSTREAM = 200;
-const REPORTS_AT_ONCE = 8;
-/** An order that shows no effect in the reports is given again after this. */
-const REPEAT_AFTER_MS = 60_000;
+const ROUND_INTERVAL_PER_UPSTREAM_MS = 200;
+const MAX_CONCURRENT_REPORTS = 8;
+/** A command without an effect in the load reports is sent again after this. */
+const RESEND_AFTER_MS = 60_000;
 const MINUTE_MS = 60_000;
 
-/** What the giver needs from its process. */
+/** Options of an `EngineController`. */
 export interface EngineControllerOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
-  /** Time since the list's revision was last confirmed as the newest. */
+  /** Time since the list's revision was last confirmed to be the newest. */
   getViewAgeMs: () => number;
-  /** The upstreams of a shard, leaving ones left out. */
+  /** Lists the upstreams of a shard, except those that are leaving. */
   listUpstreams: (pool: PoolName, shardIndex: number) => VmId[];
 }
 
-/** The giver of orders on one VM. */
+/** The engine controller of one VM. */
 export class EngineController {
   readonly #options: EngineControllerOptions;
-  /** Since when this VM is the listed owner of each pool. */
+  /** Since when this VM is the controller of each pool. */
   readonly #ownedSince = new Map<PoolName, number>();
-  readonly #givenAt = new Map<string, number>();
+  /** When each command was sent, by its JSON. */
+  readonly #sentAt = new Map<string, number>();
+  /** Token bucket of loads from the weight store. */
   #tokens = 0;
-  #filledAt: number;
+  #refilledAt: number;
 
   constructor(options: EngineControllerOptions) {
     this.#options = options;
-    this.#filledAt = options.environment.clock.now();
+    this.#refilledAt = options.environment.clock.now();
   }
 
   static create(options: EngineControllerOptions): EngineController {
     return new EngineController(options);
   }
 
-  /** Gives orders until `signal` aborts. */
+  /** Sends commands until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options.environment;
     while (!signal.aborted) {
-      await clock.sleep(this.#computeRoundMs(), signal);
+      await clock.sleep(this.#computeRoundIntervalMs(), signal);
       if (signal.aborted) return;
       await this.runRound();
     }
   }
 
-  /** One round over the pools that this VM owns by the list. */
+  /** Runs one round over the pools that this VM controls. */
   async runRound(): Promise<void> {
     const snapshot = this.#options.getSnapshot();
     if (snapshot === undefined) return;
     this.#addTokens(snapshot);
-    this.#removeOldOrders();
+    this.#dropOldCommands();
     for (const pool of listModelPools(snapshot)) {
-      if (this.#canGive(pool)) await this.#runPool(pool);
+      if (this.#canSend(pool)) await this.#runPool(pool);
     }
   }
 
@@ -86,19 +89,19 @@
       const upstreams = this.#options.listUpstreams(pool.name, shardIndex);
       const reports = await this.#fetchReports(upstreams);
       const input = { pool, shardIndex, upstreams, reports };
-      for (const order of planCommands(input)) {
-        await this.#sendOrder(pool, order);
+      for (const command of planCommands(input)) {
+        await this.#sendCommand(pool, command);
       }
     }
   }
 
   /**
-   * Whether this VM is the giver now. Asked again before each send: a process
-   * that was paused in between wakes with a view older than its lease.
+   * Whether this VM may send commands to the pool now. Checked again before
+   * each send: a process that was paused in between may have lost its lease.
    */
-  #canGive(pool: UpstreamPool): boolean {
+  #canSend(pool: UpstreamPool): boolean {
     const { environment, membership, getViewAgeMs } = this.#options;
-    const owner = membership.findListedOwner(buildOrdersKey(pool.name));
+    const owner = membership.findListedOwner(buildControllerKey(pool.name));
     if (owner !== environment.vm) {
       this.#ownedSince.delete(pool.name);
       return false;
@@ -107,25 +110,28 @@
     const since = this.#ownedSince.get(pool.name) ?? now;
     this.#ownedSince.set(pool.name, since);
     if (getViewAgeMs() > COMMAND_LEASE_MS) return false;
-    // An engine that ignores the fencing number would carry out a late order
-    // of the previous giver. Its lease and its orders on the way have lapsed
-    // only after this time.
-    const quietMs = pool.fencing === "ignored"
+    // An engine that ignores fencing numbers would execute a late command of
+    // the previous controller, so wait until that controller's lease and its
+    // commands in transit have expired.
+    const takeoverDelayMs = pool.fencing === "ignored"
       ? COMMAND_LEASE_MS + COMMAND_TRANSIT_MS
       : 0;
-    return now - since >= quietMs;
+    return now - since >= takeoverDelayMs;
   }
 
-  async #sendOrder(pool: UpstreamPool, planned: PlannedCommand): Promise<void> {
+  async #sendCommand(
+    pool: UpstreamPool,
+    planned: PlannedCommand,
+  ): Promise<void> {
     const { environment, membership } = this.#options;
     const key = JSON.stringify(planned);
     const now = environment.clock.now();
-    const givenAt = this.#givenAt.get(key);
-    if (givenAt !== undefined && now - givenAt < REPEAT_AFTER_MS) return;
-    if (!this.#takeStoreToken(planned)) return;
-    if (!this.#canGive(pool)) return;
+    const sentAt = this.#sentAt.get(key);
+    if (sentAt !== undefined && now - sentAt < RESEND_AFTER_MS) return;
+    if (!this.#takeWeightStoreToken(planned)) return;
+    if (!this.#canSend(pool)) return;
     const fencing = membership.getList().revision;
-    this.#givenAt.set(key, now);
+    this.#sentAt.set(key, now);
     const fields = {
       pool: pool.name,
       peer: planned.upstream,
@@ -152,9 +158,13 @@
     upstreams: readonly VmId[],
   ): Promise<Map<VmId, LoadReport>> {
     const reports = new Map<VmId, LoadReport>();
-    for (let first = 0; first < upstreams.length; first += REPORTS_AT_ONCE) {
-      const some = upstreams.slice(first, first + REPORTS_AT_ONCE);
-      await Promise.all(some.map(async (upstream) => {
+    for (
+      let first = 0;
+      first < upstreams.length;
+      first += MAX_CONCURRENT_REPORTS
+    ) {
+      const batch = upstreams.slice(first, first + MAX_CONCURRENT_REPORTS);
+      await Promise.all(batch.map(async (upstream) => {
         const report = await this.#fetchReport(upstream);
         if (report !== undefined) reports.set(upstream, report);
       }));
@@ -162,7 +172,7 @@
     return reports;
   }
 
-  /** Undefined where nothing is known: such an upstream gets no order. */
+  /** Returns undefined if the upstream does not answer or is leaving. */
   async #fetchReport(upstream: VmId): Promise<LoadReport | undefined> {
     try {
       const { upstreams } = this.#options.environment;
@@ -173,39 +183,45 @@
     }
   }
 
-  #computeRoundMs(): number {
+  #computeRoundIntervalMs(): number {
     const { membership } = this.#options;
     let upstreams = 0;
     for (const pool of this.#ownedSince.keys()) {
       upstreams += membership.listUpstreams(pool).length;
     }
-    return Math.max(LEAST_ROUND_MS, upstreams * ROUND_MS_PER_UPSTREAM);
+    return Math.max(
+      MIN_ROUND_INTERVAL_MS,
+      upstreams * ROUND_INTERVAL_PER_UPSTREAM_MS,
+    );
   }
 
   /**
-   * The weight store bears a rate for the whole fleet. Each pool's giver takes
-   * an equal part of it, which every VM works out from the records alone. The
-   * bucket starts empty and holds one order at least, so a change of giver
-   * adds nothing to the rate.
+   * Refills the token bucket. The weight store sustains a rate for the whole
+   * fleet. Each pool's controller uses an equal part of it, which every VM
+   * computes from the records alone. The bucket starts empty and holds at least
+   * one load, so a change of controller does not raise the rate.
    */
   #addTokens(snapshot: Snapshot): void {
     const now = this.#options.environment.clock.now();
     const pools = listModelPools(snapshot).length;
     const perMs = snapshot.policy.weightStoreOrdersPerMinute / MINUTE_MS;
     const share = pools === 0 ? 0 : perMs * this.#ownedSince.size / pools;
-    this.#tokens += share * (now - this.#filledAt);
-    this.#tokens = Math.min(this.#tokens, Math.max(1, share * LEAST_ROUND_MS));
-    this.#filledAt = now;
+    this.#tokens += share * (now - this.#refilledAt);
+    this.#tokens = Math.min(
+      this.#tokens,
+      Math.max(1, share * MIN_ROUND_INTERVAL_MS),
+    );
+    this.#refilledAt = now;
   }
 
-  #removeOldOrders(): void {
-    const oldest = this.#options.environment.clock.now() - REPEAT_AFTER_MS;
-    for (const [key, givenAt] of this.#givenAt) {
-      if (givenAt < oldest) this.#givenAt.delete(key);
+  #dropOldCommands(): void {
+    const oldest = this.#options.environment.clock.now() - RESEND_AFTER_MS;
+    for (const [key, sentAt] of this.#sentAt) {
+      if (sentAt < oldest) this.#sentAt.delete(key);
     }
   }
 
-  #takeStoreToken(planned: PlannedCommand): boolean {
+  #takeWeightStoreToken(planned: PlannedCommand): boolean {
     if (planned.command.action !== "load") return true;
     if (this.#tokens < 1) return false;
     this.#tokens -= 1;
@@ -217,6 +233,6 @@
   return [...snapshot.pools.values()].filter(({ type }) => type === "model");
 }
 
-function buildOrdersKey(pool: PoolName): string {
+function buildControllerKey(pool: PoolName): string {
   return `orders:${pool}`;
 }
--- a/src/process/engine_control/model_placement.ts
+++ b/src/process/engine_control/model_placement.ts
@@ -1,5 +1,5 @@
 /**
- * Which model each upstream of a shard should hold.
+ * Assigns models to the upstreams of a shard and plans the commands for it.
  *
  * @module
  */
@@ -8,26 +8,26 @@
 import type { PoolModel, UpstreamPool } from "../../version/index.ts";
 import { computeRendezvousOrder } from "../rendezvous.ts";
 
-/** The part of a pool that one shard has to place. */
+/** One shard of a pool, with the load reports of its upstreams. */
 export interface PlacementInput {
   pool: UpstreamPool;
   shardIndex: number;
-  /** The shard's upstreams that may get work. */
+  /** The shard's upstreams, except those that are leaving. */
   upstreams: readonly VmId[];
-  /** The latest report of each upstream; absent while none is known. */
+  /** The latest report of each upstream that has one. */
   reports: ReadonlyMap<VmId, LoadReport>;
 }
 
-/** One order that brings an upstream closer to its desired state. */
+/** A command that brings an upstream closer to its desired state. */
 export interface PlannedCommand {
   upstream: VmId;
   command: Omit<EngineOrder, "fencing">;
 }
 
 /**
- * The orders that are still missing. An upstream without a report gets none:
- * what it holds is not known. A model is unloaded only once the models that
- * the records ask for stand on enough upstreams.
+ * Returns the commands that are still needed. An upstream without a report gets
+ * none, because its models are unknown. Models are unloaded only once no load
+ * is missing on any upstream.
  */
 export function planCommands(input: PlacementInput): PlannedCommand[] {
   const desired = chooseModels(input);
@@ -44,7 +44,7 @@
   return [...roles, ...(loads.length > 0 ? loads : unloads)];
 }
 
-/** The models that each upstream of the shard should hold. */
+/** Returns the models that each upstream of the shard should hold. */
 export function chooseModels(
   input: PlacementInput,
 ): Map<VmId, PoolModel[]> {
@@ -52,16 +52,18 @@
     input.upstreams.map((upstream) => [upstream, []]),
   );
   for (const model of input.pool.models) {
-    const wanted = countWanted(input.pool, model, input.shardIndex);
-    for (const upstream of chooseHolders(input, desired, model, wanted)) {
+    const replicaCount = countReplicas(input.pool, model, input.shardIndex);
+    for (
+      const upstream of chooseUpstreams(input, desired, model, replicaCount)
+    ) {
       desired.get(upstream)?.push(model);
     }
   }
   return desired;
 }
 
-/** The shard's part of the replicas that a model should have. */
-function countWanted(
+/** Returns the shard's part of the model's replicas. */
+function countReplicas(
   pool: UpstreamPool,
   model: PoolModel,
   shardIndex: number,
@@ -72,15 +74,15 @@
 }
 
 /**
- * Upstreams that hold the model already come first, so that a change of
- * membership moves as few weights as possible; then those with the fewest
- * models; rendezvous order breaks ties alike on every VM.
+ * Prefers upstreams with few models assigned, and among these upstreams that
+ * already hold the model, so that a change of membership loads few weights.
+ * Rendezvous order breaks ties, the same way on every VM.
  */
-function chooseHolders(
+function chooseUpstreams(
   input: PlacementInput,
   desired: ReadonlyMap<VmId, PoolModel[]>,
   model: PoolModel,
-  wanted: number,
+  replicaCount: number,
 ): VmId[] {
   const key = `${input.pool.name}/${model.model}`;
   const order = computeRendezvousOrder(key, input.upstreams);
@@ -93,7 +95,7 @@
   };
   return [...input.upstreams]
     .sort((a, b) => cost(a) - cost(b) || rank.get(a)! - rank.get(b)!)
-    .slice(0, wanted);
+    .slice(0, replicaCount);
 }
 
 function hasModel(report: LoadReport, model: PoolModel): boolean {
@@ -107,19 +109,19 @@
   models: PoolModel[],
   report: LoadReport,
 ): PlannedCommand[] {
-  const orders: PlannedCommand[] = [];
+  const commands: PlannedCommand[] = [];
   for (const model of models) {
     if (!hasModel(report, model)) {
-      orders.push(buildOrder(upstream, "load", model, undefined));
+      commands.push(buildCommand(upstream, "load", model, undefined));
       continue;
     }
     const held = report.models.find((one) => one.model === model.model);
     for (const adapter of model.adapters) {
       if (held?.adapters.includes(adapter)) continue;
-      orders.push(buildOrder(upstream, "load", model, adapter));
+      commands.push(buildCommand(upstream, "load", model, adapter));
     }
   }
-  return orders;
+  return commands;
 }
 
 function listRoleChanges(
@@ -145,8 +147,8 @@
   models: PoolModel[],
   report: LoadReport,
 ): PlannedCommand[] {
-  // An upstream that no model was assigned to keeps what it holds: an empty
-  // replica serves nobody, and a record with too few replicas would empty it.
+  // An upstream without an assigned model keeps its models: an empty replica
+  // serves no requests, and a record with too few replicas would empty it.
   if (models.length === 0) return [];
   return report.models
     .filter((held) =>
@@ -166,7 +168,7 @@
     }));
 }
 
-function buildOrder(
+function buildCommand(
   upstream: VmId,
   action: "load" | "unload",
   model: PoolModel,
--- a/src/process/readiness.ts
+++ b/src/process/readiness.ts
@@ -7,7 +7,7 @@
 import type { ShardId } from "../ids.ts";
 import type { Environment } from "./environment.ts";
 import type { VmRuntime } from "./runtime.ts";
-import { buildShardKey, listShards } from "./scheduler/index.ts";
+import { buildShardKey, listNonEmptyShards } from "./scheduler/index.ts";
 
 /** Decides what `/readyz` says. */
 export class Readiness {
@@ -52,7 +52,9 @@
     const { membership } = this.#runtime;
     const pools = [...this.#runtime.getSnapshot()?.pools.values() ?? []];
     return pools
-      .flatMap((pool) => listShards(pool, membership.listUpstreams(pool.name)))
+      .flatMap((pool) =>
+        listNonEmptyShards(pool, membership.listUpstreams(pool.name))
+      )
       .filter((shard) =>
         membership.findOwner(buildShardKey(shard)) === this.#environment.vm
       );
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -22,7 +22,7 @@
 import { FleetMembership } from "./fleet_membership.ts";
 import { WorkspaceLimits } from "./limits/index.ts";
 import { LocalPeer } from "./local_peer.ts";
-import { OrderGiver } from "./engine_control/index.ts";
+import { EngineController } from "./engine_control/index.ts";
 import type { PeerApi, StatsAnswer } from "./peer_api.ts";
 import { Prober } from "./prober.ts";
 import {
@@ -38,7 +38,7 @@
   buildShardId,
   LeaseClient,
   listShardUpstreams,
-  type SchedulerDecisions,
+  type SchedulerFeatures,
   ShardOwners,
 } from "./scheduler/index.ts";
 
@@ -61,7 +61,7 @@
   entriesTtlMs?: number;
   retainedAnswersBytes?: number;
   /** Decisions that a bench switches off; all are on by default. */
-  features?: Partial<SchedulerDecisions>;
+  features?: Partial<SchedulerFeatures>;
   /** Requests that may wait in a shard; a test sets it low. */
   queueBound?: number;
 }
@@ -84,7 +84,7 @@
   readonly #environment: Environment;
   readonly #entriesTtlMs: number | undefined;
   readonly #answers: AnswerStore;
-  readonly #orders: OrderGiver;
+  readonly #engineController: EngineController;
   readonly #router: RequestRouter;
   readonly #stopped = new AbortController();
   readonly #startedAt: number;
@@ -162,7 +162,7 @@
       claims: this.claims,
     });
     this.metrics = ProcessMetrics.create(environment.clock);
-    this.#orders = OrderGiver.create({
+    this.#engineController = EngineController.create({
       environment,
       membership,
       getSnapshot,
@@ -194,7 +194,7 @@
     this.#suspects.start();
     this.owners.start();
     this.leases.start();
-    void this.#orders.run(this.#stopped.signal);
+    void this.#engineController.run(this.#stopped.signal);
     void this.#announceSummaries();
   }
 
--- a/src/process/scheduler/admission.ts
+++ b/src/process/scheduler/admission.ts
@@ -1,5 +1,5 @@
 /**
- * How long a request will wait, and when a refused caller should come back.
+ * Estimates how long a request will wait and when a refused one should retry.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import type { RequestClass } from "../../version/records.ts";
 import type { WorkspaceBacklog } from "./class_queue.ts";
 
-/** The least and the most that a caller is told to wait, in milliseconds. */
-const MIN_RETRY_MS = 200;
-const MAX_RETRY_MS = 120_000;
-/** The share of slots that a tier can count on below all others. */
+/** Bounds of the retry delay that a refused caller gets. */
+const MIN_RETRY_AFTER_MS = 200;
+const MAX_RETRY_AFTER_MS = 120_000;
+/** Share of the slots assumed for a tier when higher tiers use all of them. */
 const MIN_SLOT_SHARE = 0.05;
 
-/** What the wait depends on of one class. */
+/** The state of one class that an expected wait depends on. */
 export interface WaitingClass {
   readonly className: ClassName;
   readonly rank: number;
@@ -24,114 +24,116 @@
   readonly backlogs: ReadonlyMap<WorkspaceName, WorkspaceBacklog>;
 }
 
-/** The shard's state that the wait depends on. */
+/** The state of the shard that an expected wait depends on. */
 export interface ShardLoad {
   slots: number;
-  /** Free slots now. */
   freeSlots: number;
-  /** Slots in use by higher tiers. */
   usedByHigherTiers: number;
-  /** Slots that the tier may hold at most. */
+  /** Maximum number of slots that the tier may use. */
   tierCap: number;
-  /** Slots of the tier in use. */
+  /** Slots used by the tier. */
   usedByTier: number;
   classes: Iterable<WaitingClass>;
 }
 
-/** The request whose wait is asked for. */
+/** The request to estimate the wait of. */
 export interface WaitQuery {
   rank: number;
   className: ClassName;
   workspace: WorkspaceName;
   weight: number;
   requestClass: RequestClass;
-  /** Mean time in a slot, where nothing better is known. */
+  /** Expected time of the request in a slot. */
   slotMs: number;
 }
 
-/** The slots that the tier whose load it is can count on. */
+/** Returns the number of slots that the tier of `load` can use. */
 export function computeUsableSlots(load: ShardLoad): number {
-  const least = Math.max(1, MIN_SLOT_SHARE * load.slots);
-  const left = Math.max(least, load.slots - load.usedByHigherTiers);
-  return Math.min(left, Math.max(1, load.tierCap));
+  const minSlots = Math.max(1, MIN_SLOT_SHARE * load.slots);
+  const availableSlots = Math.max(
+    minSlots,
+    load.slots - load.usedByHigherTiers,
+  );
+  return Math.min(availableSlots, Math.max(1, load.tierCap));
 }
 
 /**
- * The expected wait of a new request: the slot time that goes before it,
- * divided by the slots that its tier can count on.
+ * Returns the expected wait of a new request in milliseconds: the slot time
+ * queued ahead of it, divided by the slots that its tier can use.
  */
 export function computeExpectedWait(
-  question: WaitQuery,
+  query: WaitQuery,
   load: ShardLoad,
 ): number {
   let aheadMs = 0;
   for (const queue of load.classes) {
     if (queue.size === 0) continue;
-    aheadMs += computeAhead(question, queue);
+    aheadMs += computeAhead(query, queue);
   }
-  const hasRoom = load.freeSlots > 0 && load.usedByTier < load.tierCap;
-  if (aheadMs === 0 && hasRoom) return 0;
-  return (aheadMs + question.slotMs) / computeUsableSlots(load);
+  const hasFreeSlot = load.freeSlots > 0 && load.usedByTier < load.tierCap;
+  if (aheadMs === 0 && hasFreeSlot) return 0;
+  return (aheadMs + query.slotMs) / computeUsableSlots(load);
 }
 
-/** The slot time of `queue` that goes before the request. */
+/** Returns the slot time of `queue` that is ahead of the request. */
 function computeAhead(
-  question: WaitQuery,
+  query: WaitQuery,
   queue: WaitingClass,
 ): number {
-  if (queue.rank < question.rank) return queue.slotMs;
-  if (queue.rank > question.rank) return 0;
-  if (queue.className === question.className) {
-    return computeAheadInClass(question, queue);
+  if (queue.rank < query.rank) return queue.slotMs;
+  if (queue.rank > query.rank) return 0;
+  if (queue.className === query.className) {
+    return computeAheadInClass(query, queue);
   }
-  // By earliest start, only the part of the other class that must start
-  // before this request's target goes first.
-  const mine = question.requestClass.targets.firstTokenMs;
-  const theirs = queue.requestClass.targets.firstTokenMs;
-  return queue.slotMs * Math.min(1, mine / Math.max(1, theirs));
+  // Within a tier the earliest start goes first: only the part of the other
+  // class that must start before this request's target is ahead of it.
+  const target = query.requestClass.targets.firstTokenMs;
+  const otherTarget = queue.requestClass.targets.firstTokenMs;
+  return queue.slotMs * Math.min(1, target / Math.max(1, otherTarget));
 }
 
 /**
- * Within its class a workspace waits for its own backlog at its own share,
- * and never longer than for the whole class.
+ * Within its class a request waits for the backlog of its own workspace, served
+ * at the workspace's share of the slots, and never longer than for the backlog
+ * of the whole class.
  */
 function computeAheadInClass(
-  question: WaitQuery,
+  query: WaitQuery,
   queue: WaitingClass,
 ): number {
-  const own = queue.backlogs.get(question.workspace);
-  const ownMs = own?.slotMs ?? 0;
-  const others = queue.weight - (own?.weight ?? 0);
-  const share = question.weight / (question.weight + others);
-  const fair = (ownMs + question.slotMs) / share - question.slotMs;
-  return Math.min(queue.slotMs, Math.max(ownMs, fair));
+  const backlog = queue.backlogs.get(query.workspace);
+  const backlogMs = backlog?.slotMs ?? 0;
+  const otherWeight = queue.weight - (backlog?.weight ?? 0);
+  const share = query.weight / (query.weight + otherWeight);
+  const fairMs = (backlogMs + query.slotMs) / share - query.slotMs;
+  return Math.min(queue.slotMs, Math.max(backlogMs, fairMs));
 }
 
 /**
- * Times at which refused callers were told to come back, one for each place
- * that becomes free. If all were told the same time, they would all come at
- * once, and all but one would be refused again.
+ * Spreads the retries of refused callers: one for each slot that becomes free.
+ * With the same retry time for all of them, they would return at once, and all
+ * but one would be refused again.
  */
 export class RetrySchedule {
-  readonly #bookedUntil = new Map<string, number>();
+  readonly #reservedUntil = new Map<string, number>();
 
   static create(): RetrySchedule {
     return new RetrySchedule();
   }
 
   /**
-   * Books the next place: not before `waitMs` from now, and `everyMs` after
-   * the one booked before. Gives the time from now in milliseconds.
+   * Reserves the next retry time for `key`: at least `waitMs` from now and
+   * `intervalMs` after the previous one. Returns the delay in milliseconds.
    */
   take(
     key: string,
     options: { now: number; waitMs: number; intervalMs: number },
   ): number {
-    const { now, waitMs, intervalMs: everyMs } = options;
-    const booked = this.#bookedUntil.get(key) ?? 0;
-    const at = Math.max(now + waitMs, booked + everyMs);
-    const capped = Math.min(at, now + MAX_RETRY_MS);
-    this.#bookedUntil.set(key, capped);
-    return Math.ceil(Math.max(MIN_RETRY_MS, capped - now));
+    const { now, waitMs, intervalMs } = options;
+    const reserved = this.#reservedUntil.get(key) ?? 0;
+    const at = Math.max(now + waitMs, reserved + intervalMs);
+    const capped = Math.min(at, now + MAX_RETRY_AFTER_MS);
+    this.#reservedUntil.set(key, capped);
+    return Math.ceil(Math.max(MIN_RETRY_AFTER_MS, capped - now));
   }
 }
--- a/src/process/scheduler/cache_index.ts
+++ b/src/process/scheduler/cache_index.ts
@@ -1,42 +1,42 @@
 /**
- * Which prompt prefixes a replica probably has in its cache.
+ * Index of the prompt prefixes that a replica probably has in its cache.
  *
- * Cache events come late and with gaps, so the index is a hint only.
+ * Cache events arrive late and with gaps, so the index is only a hint.
  *
  * @module
  */
 import type { CacheEvent } from "../../connection/upstream_transport.ts";
 
-/** Prefixes remembered per replica; the one unused for longest goes first. */
+/** Prefixes kept per replica; the least recently added one is evicted. */
 const MAX_PREFIXES = 8_192;
-/** Reports behind the events, one after the other, that mean a restart. */
-const RESTART_REPORTS = 8;
+/** Consecutive reports behind the events that indicate an engine restart. */
+const RESTART_REPORT_COUNT = 8;
 
-/** One replica's prefixes. */
+/** The cached prefixes of one replica. */
 export class CacheIndex {
   readonly #prefixes = new Set<string>();
   #sequence = 0;
   #gaps = 0;
-  #behind = 0;
+  #reportsBehind = 0;
 
   static create(): CacheIndex {
     return new CacheIndex();
   }
 
-  /** The last event taken in. */
+  /** Sequence number of the last applied event. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Gaps found so far. */
+  /** Number of gaps in the sequence so far. */
   get gaps(): number {
     return this.#gaps;
   }
 
   /**
-   * Takes events in. After a gap an eviction may have been missed: requests
-   * would be sent to a replica for a prefix that it no longer has, which
-   * shows as slow first tokens. So the index is emptied and built anew.
+   * Applies cache events in order and ignores repeated ones. A gap may hide an
+   * eviction, and requests for that prefix would then get slow first tokens on
+   * this replica, so the index is cleared and rebuilt after a gap.
    */
   applyEvents(events: readonly CacheEvent[]): void {
     const ordered = [...events].sort((left, right) =>
@@ -55,24 +55,29 @@
   }
 
   /**
-   * Notes the engine's latest sequence, as a report gives it. Reports lag, so
-   * one that is behind the events means nothing; if they stay behind, the
-   * engine has started again, and its cache is empty.
+   * Records the engine's latest sequence number from a load report. Reports
+   * lag, so a single one behind the events is ignored; if they stay behind, the
+   * engine has restarted with an empty cache.
    */
-  noteLatest(sequence: number): void {
-    this.#behind = sequence < this.#sequence ? this.#behind + 1 : 0;
-    if (this.#behind < RESTART_REPORTS) return;
+  noteEngineSequence(sequence: number): void {
+    this.#reportsBehind = sequence < this.#sequence
+      ? this.#reportsBehind + 1
+      : 0;
+    if (this.#reportsBehind < RESTART_REPORT_COUNT) return;
     this.clear();
     this.#sequence = 0;
-    this.#behind = 0;
+    this.#reportsBehind = 0;
   }
 
-  /** Prefixes that a request sent there now will leave in the cache. */
+  /** Adds the prefixes that a request routed to the replica will cache. */
   noteRouted(prefixes: readonly string[]): void {
     for (const prefix of prefixes) this.#add(prefix);
   }
 
-  /** The share of `prefixes`, shortest first, that are probably cached. */
+  /**
+   * Returns the share of `prefixes`, ordered from the shortest, up to the
+   * longest one that is probably cached.
+   */
   computeOverlap(prefixes: readonly string[]): number {
     for (let index = prefixes.length - 1; index >= 0; index--) {
       if (this.#prefixes.has(prefixes[index]!)) {
--- a/src/process/scheduler/class_queue.ts
+++ b/src/process/scheduler/class_queue.ts
@@ -1,5 +1,5 @@
 /**
- * The waiting requests of one class, with what the class is owed.
+ * The waiting requests of one class and the class's minimum-share credit.
  *
  * @module
  */
@@ -10,29 +10,31 @@
 import type { QueueEntry } from "./waiter.ts";
 
 /**
- * The part of `maxWaitMs` after which the head of a class goes before every
- * tier. The rest of the bound is left for a slot to become free.
+ * The part of `maxWaitMs` after which the head of a class is granted ahead of
+ * every tier. The rest of the bound is the time for a slot to become free.
  */
 export const DUE_SHARE = 0.5;
-/** Entries that are tried when the oldest ones fit on no free replica. */
-const LOOK_AHEAD = 4;
-/** Requests that a class can be owed at most. */
+/** Number of oldest entries tried when no free replica suits the first. */
+const MAX_LOOKAHEAD = 4;
+/** Cap on a class's credit, as a multiple of its head's slot time. */
 const MAX_CREDIT_REQUESTS = 2;
 
-/** What one workspace has waiting in a class. */
+/** The waiting requests of one workspace in a class. */
 export interface WorkspaceBacklog {
   count: number;
+  /** Expected slot time of all its requests. */
   slotMs: number;
   weight: number;
 }
 
-/** One class's part of a shard's queue. */
+/** The queue of one class in a shard. */
 export class ClassQueue<T extends QueueEntry> {
   readonly className: ClassName;
   readonly rank: number;
-  /** The class as the latest entry was admitted under it. */
+  /** The class's record, as of the entry added last. */
   requestClass: RequestClass;
-  readonly lanes = new Map<string, FairQueue<T>>();
+  /** Fair queues by `modelKey`. */
+  readonly byModel = new Map<string, FairQueue<T>>();
   readonly backlogs = new Map<WorkspaceName, WorkspaceBacklog>();
   readonly #options: FairQueueOptions;
   readonly #byAge = Heap.create<T>(isOlder);
@@ -60,12 +62,12 @@
     return this.#byAge.size;
   }
 
-  /** Expected slot time of all that waits. */
+  /** Expected slot time of all waiting requests. */
   get slotMs(): number {
     return this.#slotMs;
   }
 
-  /** Sum of the weights of the workspaces that wait. */
+  /** Sum of the weights of the waiting workspaces. */
   get weight(): number {
     return this.#weight;
   }
@@ -78,59 +80,59 @@
     }
     this.requestClass = entry.requestClass;
     this.#byAge.push(entry);
-    this.#getLane(entry.modelKey).add(entry, now);
-    this.#countIn(entry);
+    this.#getModelQueue(entry.modelKey).add(entry, now);
+    this.#addToBacklog(entry);
   }
 
   remove(entry: T, now: number): void {
     const wasHead = this.#byAge.getFirst() === entry;
     if (!this.#byAge.remove(entry)) return;
-    this.lanes.get(entry.modelKey)?.remove(entry);
-    this.#countOut(entry);
+    this.byModel.get(entry.modelKey)?.remove(entry);
+    this.#removeFromBacklog(entry);
     if (wasHead) this.#headSince = now;
   }
 
-  /** The oldest entry: the head that the wait bound is about. */
+  /** Returns the oldest entry, to which the wait bound applies. */
   getOldest(): T | undefined {
     return this.#byAge.getFirst();
   }
 
-  /** When the head must go before every tier. */
+  /** Returns when the head is to be granted ahead of every tier. */
   getDueAt(): number {
     return this.#headSince + DUE_SHARE * this.requestClass.maxWaitMs;
   }
 
   /**
-   * Adds the class's minimum share of slot time since the last call.
-   * `slots` is the number of slots that the share is of.
+   * Adds the class's minimum share of the slot time since the last call.
+   * `slots` is the total number of slots that the share applies to.
    */
-  addShare(now: number, share: { minShare: number; slots: number }): void {
+  addCredit(now: number, share: { minShare: number; slots: number }): void {
     const elapsed = now - this.#creditAt;
     this.#creditAt = now;
     const head = this.#byAge.getFirst();
     if (head === undefined) return;
     this.#creditMs += elapsed * share.minShare * share.slots;
-    const most = MAX_CREDIT_REQUESTS * head.slotMs;
-    this.#creditMs = Math.min(this.#creditMs, most);
+    const maxMs = MAX_CREDIT_REQUESTS * head.slotMs;
+    this.#creditMs = Math.min(this.#creditMs, maxMs);
   }
 
-  /** Whether the share accrued so far pays for the head's slot time. */
-  isOwed(): boolean {
+  /** Whether the accrued credit covers the head's slot time. */
+  hasCredit(): boolean {
     const head = this.#byAge.getFirst();
     return head !== undefined && this.#creditMs > 0 &&
       this.#creditMs >= head.slotMs;
   }
 
-  /** Every grant to the class counts against what it is owed. */
+  /** Deducts a grant to the class from its credit. */
   settleGrant(entry: T): void {
     this.#creditMs = Math.max(0, this.#creditMs - entry.slotMs);
   }
 
-  /** The oldest entry that `accepts` takes. */
+  /** Returns the oldest entry that `accepts` allows. */
   findOldest(accepts: (entry: T) => boolean): T | undefined {
     const skipped: T[] = [];
     let found: T | undefined;
-    while (found === undefined && skipped.length < LOOK_AHEAD) {
+    while (found === undefined && skipped.length < MAX_LOOKAHEAD) {
       const head = this.#byAge.pop();
       if (head === undefined) break;
       skipped.push(head);
@@ -140,37 +142,38 @@
     return found;
   }
 
-  /** The workspace with the most waiting for its weight. */
+  /** Returns the workspace with the most requests relative to its weight. */
   findLargestBacklog(): WorkspaceName | undefined {
     let largest: WorkspaceName | undefined;
-    let most = 0;
+    let maxCount = 0;
     for (const [workspace, backlog] of this.backlogs) {
-      const share = backlog.count / backlog.weight;
-      if (share <= most) continue;
-      most = share;
+      const weightedCount = backlog.count / backlog.weight;
+      if (weightedCount <= maxCount) continue;
+      maxCount = weightedCount;
       largest = workspace;
     }
     return largest;
   }
 
+  /** Drops the state of idle workspaces without debt. */
   dropIdle(): void {
-    for (const lane of this.lanes.values()) lane.dropIdle();
+    for (const queue of this.byModel.values()) queue.dropIdle();
   }
 
   list(): IterableIterator<T> {
     return this.#byAge.list();
   }
 
-  #getLane(name: string): FairQueue<T> {
-    let lane = this.lanes.get(name);
-    if (lane === undefined) {
-      lane = FairQueue.create<T>(this.#options);
-      this.lanes.set(name, lane);
+  #getModelQueue(modelKey: string): FairQueue<T> {
+    let queue = this.byModel.get(modelKey);
+    if (queue === undefined) {
+      queue = FairQueue.create<T>(this.#options);
+      this.byModel.set(modelKey, queue);
     }
-    return lane;
+    return queue;
   }
 
-  #countIn(entry: T): void {
+  #addToBacklog(entry: T): void {
     this.#slotMs += entry.slotMs;
     let backlog = this.backlogs.get(entry.workspace);
     if (backlog === undefined) {
@@ -182,7 +185,7 @@
     backlog.slotMs += entry.slotMs;
   }
 
-  #countOut(entry: T): void {
+  #removeFromBacklog(entry: T): void {
     this.#slotMs -= entry.slotMs;
     const backlog = this.backlogs.get(entry.workspace);
     if (backlog === undefined) return;
--- a/src/process/scheduler/ejection.ts
+++ b/src/process/scheduler/ejection.ts
@@ -1,29 +1,29 @@
 /**
- * Which replicas get no new work because they fail or lag behind the others.
+ * Outlier detection: ejects replicas that fail or are slower than the others.
  *
  * @module
  */
 import type { Replica } from "./replica.ts";
 
-/** Times the median slowness that makes a replica a straggler. */
+/** A replica above this multiple of the median slowness is a straggler. */
 const STRAGGLER_RATIO = 2.5;
-/** Times the median slowness below which a probed replica returns. */
+/** A probed replica returns up to this multiple of the median slowness. */
 const RETURN_RATIO = 1.5;
-/** Failures one after the other that eject a replica. */
-const MAX_FAILURES = 2;
-/** The share of replicas that always stays in service. */
-const FLOOR_SHARE = 0.5;
-/** Load polls without an answer, one after the other, that prove silence. */
+/** Consecutive failures that eject a replica. */
+const MAX_CONSECUTIVE_FAILURES = 2;
+/** Share of the replicas that stays in service, unless they are silent. */
+const MIN_IN_SERVICE_SHARE = 0.5;
+/** Consecutive load polls without an answer after which it counts as silent. */
 const MAX_MISSED_POLLS = 2;
 const FIRST_PROBE_MS = 3_000;
 const MAX_PROBE_MS = 60_000;
-/** Replicas that a median needs to mean anything. */
-const MIN_COMPARED = 3;
+/** Minimum number of replicas with a known slowness to find stragglers. */
+const MIN_COMPARED_REPLICAS = 3;
 
-/** Why a replica leaves service. */
+/** Why a replica is ejected. */
 type EjectionCause = "silent" | "failures" | "straggler";
 
-/** A change to log. */
+/** An ejection or a return, for the log. */
 export interface EjectionChange {
   replica: Replica;
   change: "ejected" | "returned";
@@ -31,12 +31,12 @@
 }
 
 /**
- * Compares the replicas and ejects or returns them.
+ * Compares the replicas, ejects outliers and returns recovered ones.
  *
- * A replica that fails at once looks idle and draws all work to it, and one
- * that lags holds its requests past their targets; both show as one replica's
- * latency or failures far from the others'. Ejecting without a floor would
- * turn a slow spell of everything into no service at all.
+ * A replica that fails immediately looks idle and attracts all requests; a slow
+ * one holds its requests past their targets. Either stands out from the other
+ * replicas by its failures or latency. A minimum share stays in service, because
+ * otherwise a slowdown of all replicas could eject every one of them.
  */
 export function updateEjections(
   replicas: readonly Replica[],
@@ -45,22 +45,24 @@
   const changes: EjectionChange[] = [];
   const median = computeMedianSlowness(replicas);
   const known = median?.compared ?? 0;
-  const toEject = known >= MIN_COMPARED ? median?.slowness : undefined;
+  const ejectionMedian = known >= MIN_COMPARED_REPLICAS
+    ? median?.slowness
+    : undefined;
   for (const replica of replicas) {
     const change = replica.ejected
       ? settleProbe(replica, { median: median?.slowness, now })
-      : updateInService(replica, { replicas, median: toEject, now });
+      : updateInService(replica, { replicas, median: ejectionMedian, now });
     if (change !== undefined) changes.push(change);
   }
   return changes;
 }
 
-/** Whether an ejected replica may be given one request as a probe. */
+/** Whether an ejected replica may get one request as a probe. */
 export function canProbe(replica: Replica, now: number): boolean {
   return replica.ejected && !replica.probing && now >= replica.probeAt;
 }
 
-/** Notes that a probe failed: the next one comes later than the last. */
+/** Records a failed probe; the delay before the next one doubles. */
 export function noteProbeFailed(replica: Replica, now: number): void {
   replica.probing = false;
   replica.ejections++;
@@ -68,7 +70,7 @@
   replica.probeAt = now + computeProbeDelay(replica.ejections);
 }
 
-/** Notes that a probe came to its end; the next may follow at once. */
+/** Records a finished probe; the next one may follow immediately. */
 export function noteProbeDone(replica: Replica, now: number): void {
   replica.probing = false;
   replica.probeAt = now;
@@ -102,9 +104,9 @@
   const why = findEjectionCause(replica, options.median);
   if (why === undefined) return undefined;
   const inService = options.replicas.filter((other) => !other.ejected).length;
-  const share = why === "silent" ? 0 : FLOOR_SHARE;
-  const floor = Math.max(1, Math.ceil(share * options.replicas.length));
-  if (inService <= floor) return undefined;
+  const share = why === "silent" ? 0 : MIN_IN_SERVICE_SHARE;
+  const minInService = Math.max(1, Math.ceil(share * options.replicas.length));
+  if (inService <= minInService) return undefined;
   replica.ejected = true;
   replica.ejections++;
   replica.latency.clear();
@@ -116,11 +118,11 @@
   replica: Replica,
   median: number | undefined,
 ): EjectionCause | undefined {
-  const isFailing = replica.latency.failures >= MAX_FAILURES;
-  const isMissing = replica.missedPolls >= MAX_MISSED_POLLS;
-  // Failing work and missing reports together are proof enough to go below
-  // the floor; either alone may be the fault of the work or of the way there.
-  if (isMissing && replica.latency.failures > 0) return "silent";
+  const isFailing = replica.latency.failures >= MAX_CONSECUTIVE_FAILURES;
+  const isSilent = replica.missedPolls >= MAX_MISSED_POLLS;
+  // Failures and missing reports together justify going below the minimum in
+  // service; either alone may be caused by the requests or by the network.
+  if (isSilent && replica.latency.failures > 0) return "silent";
   if (isFailing) return "failures";
   const slowness = replica.latency.slowness;
   if (slowness === undefined || median === undefined) return undefined;
--- a/src/process/scheduler/fair_queue.ts
+++ b/src/process/scheduler/fair_queue.ts
@@ -1,9 +1,10 @@
 /**
- * The order of the requests of one class that need the same model.
+ * Weighted fair queueing of the requests of one class for one model.
  *
- * Workspaces take turns by tokens served against their weight. Among the
- * workspaces whose turn it is, the request that must start first goes first;
- * one that can no longer meet its target goes behind those that can.
+ * A workspace is eligible while the tokens it was served, divided by its
+ * weight, are close to those of the least served workspace. Among eligible
+ * workspaces the earliest latest-start time goes first; requests that can no
+ * longer meet their target go after those that can.
  *
  * @module
  */
@@ -21,43 +22,44 @@
 import { Heap } from "./heap.ts";
 import type { QueueEntry } from "./waiter.ts";
 
-/** Entries that are tried when the first ones fit on no free replica. */
-const LOOK_AHEAD = 8;
+/** Number of entries tried when no free replica suits the first. */
+const MAX_LOOKAHEAD = 8;
 /**
- * How far, in mean requests, a workspace may be ahead of the one furthest
- * behind and still be chosen by deadline.
+ * How far a workspace may be ahead of the least served one and still be
+ * eligible, in requests of mean cost.
  */
-const SLACK_REQUESTS = 2;
-const MEAN_COST_WEIGHT = 0.05;
+const MAX_LEAD_REQUESTS = 2;
+/** Minimum weight of a new sample in the moving averages. */
+const MIN_SAMPLE_WEIGHT = 0.05;
 
-/** Which of the two orders apply. */
+/** Which ordering criteria apply. */
 export interface FairQueueOptions {
   fairShare: boolean;
   deadlineOrder: boolean;
 }
 
-/** One class's requests for one model. */
+/** Fair queue of one class's requests for one model. */
 export class FairQueue<T extends QueueEntry> {
   readonly #options: FairQueueOptions;
   readonly #flows = new Map<WorkspaceName, Flow<T>>();
-  /** Flows with entries, the least served first. */
+  /** Flows with entries, least served first. */
   readonly #byServed = Heap.create<Flow<T>>(isServedLess);
-  /** Flows whose turn it is, by their heads. */
-  readonly #inTurn: Heap<Flow<T>>;
-  /** Flows that are too far ahead, the least served first. */
+  /** Flows that may be granted, ordered by their heads. */
+  readonly #eligible: Heap<Flow<T>>;
+  /** Flows too far ahead to be granted, least served first. */
   readonly #ahead = Heap.create<Flow<T>>(isServedLess);
-  /** What a workspace that comes back counts as served at least. */
-  #floor = 0;
+  /** Lower bound of `served` for a workspace that becomes active again. */
+  #virtualTime = 0;
   #mostServed = 0;
-  /** Mean tokens of a finished request divided by its weight. */
+  /** Mean of the tokens of a finished request divided by its weight. */
   #meanCost = 0;
   #meanTokens = 0;
-  #finished = 0;
+  #finishedCount = 0;
   #size = 0;
 
   constructor(options: FairQueueOptions) {
     this.#options = options;
-    this.#inTurn = Heap.create<Flow<T>>((left, right) =>
+    this.#eligible = Heap.create<Flow<T>>((left, right) =>
       compareHeads(buildHeadKey(left), buildHeadKey(right)) < 0
     );
   }
@@ -74,10 +76,10 @@
 
   add(entry: T, now: number): void {
     const flow = this.#getFlow(entry.workspace);
-    // A workspace that was idle gets no credit for the time that it did not
-    // ask, or its burst would keep all others waiting.
-    this.#updateFloor();
-    if (isEmpty(flow)) flow.served = Math.max(flow.served, this.#floor);
+    // A workspace accrues no credit while idle; otherwise a burst after an idle
+    // period would starve all others.
+    this.#updateVirtualTime();
+    if (isEmpty(flow)) flow.served = Math.max(flow.served, this.#virtualTime);
     this.#addToFlow(flow, entry, now);
   }
 
@@ -90,18 +92,18 @@
     return true;
   }
 
-  /** The key of the entry that would be chosen now. */
-  findKey(now: number): HeadKey | undefined {
-    const flow = this.#findTurn(now);
+  /** Returns the key of the entry that would be chosen now. */
+  findHeadKey(now: number): HeadKey | undefined {
+    const flow = this.#findNextFlow(now);
     return flow && buildHeadKey(flow);
   }
 
-  /** The first entry in order that `accepts` takes, left in its place. */
+  /** Returns the first entry that `accepts` allows, without removing it. */
   findFirst(now: number, accepts: (entry: T) => boolean): T | undefined {
     const skipped: T[] = [];
     let found: T | undefined;
-    while (found === undefined && skipped.length < LOOK_AHEAD) {
-      const flow = this.#findTurn(now);
+    while (found === undefined && skipped.length < MAX_LOOKAHEAD) {
+      const flow = this.#findNextFlow(now);
       if (flow === undefined) break;
       const head = getHead(flow)!;
       if (accepts(head)) {
@@ -117,7 +119,7 @@
     return found;
   }
 
-  /** Counts `tokens` as served to `workspace`; negative ones give back. */
+  /** Charges `tokens` to `workspace`; a negative number is a refund. */
   noteServed(
     workspace: WorkspaceName,
     options: { tokens: number; weight: number },
@@ -131,40 +133,44 @@
   }
 
   /**
-   * What to count for `entry` when it is granted. A cap as the guess would be
-   * many times too high, and a workspace that comes meanwhile would be taken
-   * for one that had been served as much; so before anything is learnt the
-   * mean of the finished requests counts, and before the first one the least.
+   * Returns the cost to charge for `entry` when it is granted. Until an
+   * estimate is learnt, `cost` is the class's cap and may be many times too
+   * high, which would also raise the start value of workspaces that become
+   * active meanwhile. The mean of the finished requests is charged instead, or
+   * 1 before any has finished.
    */
   computeCharge(entry: T): number {
     if (entry.isCostLearnt) return entry.cost;
-    return Math.min(entry.cost, this.#finished > 0 ? this.#meanTokens : 1);
+    return Math.min(entry.cost, this.#finishedCount > 0 ? this.#meanTokens : 1);
   }
 
   /**
-   * Takes in what a finished request cost in the end. Only finished ones
-   * count: guesses made before anything is learnt may be many times too high,
-   * and would let one workspace run far ahead.
+   * Records the actual cost of a finished request. Only finished requests
+   * enter the means: estimates made before anything is learnt may be many
+   * times too high, and would let one workspace run far ahead.
    */
   noteFinished(options: { tokens: number; weight: number }): void {
-    this.#finished++;
-    const weight = Math.max(MEAN_COST_WEIGHT, 1 / this.#finished);
+    this.#finishedCount++;
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / this.#finishedCount);
     const cost = options.tokens / options.weight;
     this.#meanCost += weight * (cost - this.#meanCost);
     this.#meanTokens += weight * (options.tokens - this.#meanTokens);
   }
 
-  /** Forgets idle workspaces that are owed and owe nothing. */
+  /** Drops idle workspaces without debt. */
   dropIdle(): void {
-    this.#updateFloor();
+    this.#updateVirtualTime();
     for (const [workspace, flow] of this.#flows) {
-      if (isEmpty(flow) && flow.served <= this.#floor) {
+      if (isEmpty(flow) && flow.served <= this.#virtualTime) {
         this.#flows.delete(workspace);
       }
     }
   }
 
-  /** Whether an idle workspace has been served more than the others. */
+  /**
+   * Whether `dropIdle` has left any workspace: one with entries, or one that was
+   * served more than the others.
+   */
   hasDebt(): boolean {
     return this.#flows.size > 0;
   }
@@ -172,7 +178,7 @@
   #getFlow(workspace: WorkspaceName): Flow<T> {
     let flow = this.#flows.get(workspace);
     if (flow !== undefined) return flow;
-    flow = createFlow<T>(workspace, this.#floor);
+    flow = createFlow<T>(workspace, this.#virtualTime);
     this.#flows.set(workspace, flow);
     return flow;
   }
@@ -183,17 +189,17 @@
     (feasible ? flow.feasible : flow.late).push(entry);
     this.#size++;
     if (wasEmpty) this.#addActive(flow);
-    else this.#inTurn.update(flow);
+    else this.#eligible.update(flow);
   }
 
-  /** The flow whose head goes next, once late heads have been moved. */
-  #findTurn(now: number): Flow<T> | undefined {
-    this.#updateTurns();
+  /** Returns the flow whose head is next, after moving late heads. */
+  #findNextFlow(now: number): Flow<T> | undefined {
+    this.#updateEligible();
     while (true) {
-      const flow = this.#inTurn.getFirst();
+      const flow = this.#eligible.getFirst();
       if (flow === undefined) return undefined;
       if (this.#isAhead(flow)) {
-        this.#inTurn.remove(flow);
+        this.#eligible.remove(flow);
         this.#ahead.push(flow);
       } else if (!this.#updateLate(flow, now)) {
         return flow;
@@ -202,8 +208,9 @@
   }
 
   /**
-   * Moves heads that can no longer meet their target. Only the first flow
-   * needs a look: a start time in the past sorts before any in the future.
+   * Moves heads that can no longer meet their target to the late heap. Checking
+   * the first flow is enough: a start time in the past sorts before any in the
+   * future.
    */
   #updateLate(flow: Flow<T>, now: number): boolean {
     let moved = false;
@@ -214,37 +221,37 @@
       moved = true;
       head = flow.feasible.getFirst();
     }
-    if (moved) this.#inTurn.update(flow);
+    if (moved) this.#eligible.update(flow);
     return moved;
   }
 
   #addActive(flow: Flow<T>): void {
     this.#byServed.push(flow);
     if (this.#isAhead(flow)) this.#ahead.push(flow);
-    else this.#inTurn.push(flow);
+    else this.#eligible.push(flow);
   }
 
   #updateActive(flow: Flow<T>): void {
     if (!isEmpty(flow)) {
-      this.#inTurn.update(flow);
+      this.#eligible.update(flow);
       return;
     }
     this.#byServed.remove(flow);
-    this.#inTurn.remove(flow);
+    this.#eligible.remove(flow);
     this.#ahead.remove(flow);
   }
 
-  #updateFloor(): void {
+  #updateVirtualTime(): void {
     const least = this.#byServed.getFirst()?.served ?? this.#mostServed;
-    this.#floor = Math.max(this.#floor, least);
+    this.#virtualTime = Math.max(this.#virtualTime, least);
   }
 
-  /** Lets in the flows whose turn has come. */
-  #updateTurns(): void {
+  /** Moves flows that are no longer too far ahead to the eligible ones. */
+  #updateEligible(): void {
     let next = this.#ahead.getFirst();
     while (next !== undefined && !this.#isAhead(next)) {
       this.#ahead.remove(next);
-      this.#inTurn.push(next);
+      this.#eligible.push(next);
       next = this.#ahead.getFirst();
     }
   }
@@ -252,6 +259,6 @@
   #isAhead(flow: Flow<T>): boolean {
     if (!this.#options.fairShare) return false;
     const least = this.#byServed.getFirst()?.served ?? flow.served;
-    return flow.served > least + SLACK_REQUESTS * this.#meanCost;
+    return flow.served > least + MAX_LEAD_REQUESTS * this.#meanCost;
   }
 }
--- a/src/process/scheduler/granter.ts
+++ b/src/process/scheduler/granter.ts
@@ -1,5 +1,5 @@
 /**
- * Brings waiters and free slots together.
+ * Grants free slots to waiting requests.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { SchedulerFeatures } from "./scheduler_features.ts";
 import type { LeaseManager } from "./lease_manager.ts";
 import type { LeaseEntry } from "./lease_ledger.ts";
-import { chooseVictim, type PreemptionWish } from "./preemption.ts";
+import { chooseVictim, type PreemptionRequest } from "./preemption.ts";
 import type { Replica } from "./replica.ts";
 import {
   canServe,
@@ -23,26 +23,26 @@
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-/** The share of slots that long work cannot take. */
-const SHORT_RESERVE = 0.125;
+/** Share of the slots that long requests cannot use. */
+const SHORT_REQUEST_RESERVE = 0.125;
 /**
- * The share of slots that may be in use by classes that went before a higher
- * tier. A wait bound too short for the class's slot times would otherwise let
- * a low tier take every slot.
+ * Maximum share of the slots held by requests granted ahead of a higher tier.
+ * Without it, a low tier whose wait bound is short for its slot times could
+ * take every slot.
  */
-const PROMOTED_SHARE = 0.5;
-/** Time until a preempted slot is back: one sync of its holder and a margin. */
-const PREEMPT_RETURN_MS = 700;
+const MAX_PROMOTED_SHARE = 0.5;
+/** Time until a preempted slot is free: one sync of its holder and a margin. */
+const PREEMPTED_SLOT_RETURN_MS = 700;
 
-/** What the granter works on. */
+/** Options of a `Granter`. */
 export interface GranterOptions {
   shard: ShardId;
   log: Log;
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
-  accounts: LeaseManager;
+  leaseManager: LeaseManager;
   factory: WaiterFactory;
-  waits: WaitEstimator;
+  waitEstimator: WaitEstimator;
   features: SchedulerFeatures;
   getPolicy: () => Policy | undefined;
   onGranted: (waiter: Waiter, lease: SlotLease) => void;
@@ -60,20 +60,20 @@
     return new Granter(options);
   }
 
-  /** Grants as long as a waiter and a free slot fit together. */
+  /** Grants slots while a free slot suits a waiting request. */
   grantAll(now: number): void {
     const { queue, replicas } = this.#options;
     const slots = replicas.slots;
-    queue.addShare(now, slots);
-    while (queue.size > 0 && replicas.hasOpening(now)) {
+    queue.addCredit(now, slots);
+    while (queue.size > 0 && replicas.hasCapacity(now)) {
       let chosen: Replica | undefined;
       const next = queue.findNext(now, {
-        isOpen: (rank) => this.#isTierOpen(rank),
+        isTierOpen: (rank) => this.#isTierOpen(rank),
         canPromote: () => this.#canPromote(slots),
         accepts: (entry) => {
-          if (!this.#isLengthOpen(entry, slots)) return false;
-          const wish = this.#buildWish(entry);
-          chosen = chooseReplica(replicas.list(), { requirements: wish, now });
+          if (!this.#canGrantLong(entry, slots)) return false;
+          const requirements = this.#buildRequirements(entry);
+          chosen = chooseReplica(replicas.list(), { requirements, now });
           return chosen !== undefined;
         },
       });
@@ -83,24 +83,25 @@
     }
   }
 
-  /** Takes a slot back for the first waiter, where that pays. */
+  /** Preempts a lease for the first waiter if that is worth its cost. */
   preempt(now: number): void {
-    const { queue, accounts, features: decisions, getPolicy } = this.#options;
+    const { queue, leaseManager, features, getPolicy } = this.#options;
     const policy = getPolicy();
-    if (policy === undefined || !decisions.preemption) return;
+    if (policy === undefined || !features.preemption) return;
     const first = queue.findFirstByTier(now);
     if (first === undefined || !this.#isTierOpen(first.rank)) return;
-    const lowest = accounts.ledger.findLowestRank() ?? 0;
+    const lowest = leaseManager.ledger.findLowestRank() ?? 0;
     if (lowest <= first.rank) return;
-    const victim = chooseVictim(this.#buildPreemption(first, now), {
+    const victim = chooseVictim(this.#buildPreemptionRequest(first, now), {
       policy,
       slots: this.#options.replicas.slots,
-      leases: accounts.ledger.list(),
-      computeRemainingMs: (lease) => accounts.computeRemainingMs(lease, now),
-      isUseful: (lease) => this.#isUseful(lease, first, now),
+      leases: leaseManager.ledger.list(),
+      computeRemainingMs: (lease) =>
+        leaseManager.computeRemainingMs(lease, now),
+      isUseful: (lease) => this.#canUseSlot(lease, first, now),
     });
     if (victim === undefined) return;
-    accounts.preempt(victim);
+    leaseManager.preempt(victim);
     this.#options.log.info("lease_preempted", {
       shard: this.#options.shard,
       lease: victim.lease,
@@ -112,31 +113,32 @@
   }
 
   #grant(waiter: Waiter, replica: Replica, now: number): void {
-    const { queue, accounts, onGranted } = this.#options;
+    const { queue, leaseManager, onGranted } = this.#options;
     const chargedCost = queue.takeGranted(waiter, now);
-    const lease = accounts.grant(waiter, { replica, chargedCost, now });
+    const lease = leaseManager.grant(waiter, { replica, chargedCost, now });
     onGranted(waiter, lease);
   }
 
-  #buildPreemption(first: Waiter, now: number): PreemptionWish {
+  #buildPreemptionRequest(first: Waiter, now: number): PreemptionRequest {
     const { factory, replicas } = this.#options;
     return {
       rank: first.rank,
       startBy: first.startBy,
       now,
       expectedWaitMs: factory.meanSlotMs / Math.max(1, replicas.slots),
-      returnMs: PREEMPT_RETURN_MS,
+      returnMs: PREEMPTED_SLOT_RETURN_MS,
     };
   }
 
-  /** Whether the lease's slot would serve the waiter. */
-  #isUseful(lease: LeaseEntry, waiter: Waiter, now: number): boolean {
+  /** Whether the waiter could use the lease's slot. */
+  #canUseSlot(lease: LeaseEntry, waiter: Waiter, now: number): boolean {
     const replica = this.#options.replicas.get(lease.upstream);
-    return replica !== undefined && !replica.ejected && replica.canTake(now) &&
-      canServe(replica, this.#buildWish(waiter));
+    return replica !== undefined && !replica.ejected &&
+      replica.isAccepting(now) &&
+      canServe(replica, this.#buildRequirements(waiter));
   }
 
-  #buildWish(waiter: Waiter): ReplicaRequirements {
+  #buildRequirements(waiter: Waiter): ReplicaRequirements {
     const { call } = waiter;
     return {
       model: call.model,
@@ -148,24 +150,25 @@
     };
   }
 
-  /** Whether the tier holds fewer slots than its cap. */
+  /** Whether the tier is below its slot cap. */
   #isTierOpen(rank: number): boolean {
-    const { accounts, waits, features: decisions } = this.#options;
-    if (!decisions.crowding) return true;
-    return accounts.ledger.countAtRank(rank) < waits.getTierCap({ rank });
+    const { leaseManager, waitEstimator, features } = this.#options;
+    if (!features.crowding) return true;
+    return leaseManager.ledger.countAtRank(rank) <
+      waitEstimator.getTierCap({ rank });
   }
 
-  /** Whether fewer slots than their share went before a higher tier. */
+  /** Whether promoted requests hold less than their share of the slots. */
   #canPromote(slots: number): boolean {
-    const most = Math.max(1, Math.floor(PROMOTED_SHARE * slots));
-    return this.#options.accounts.ledger.promotedCount < most;
+    const most = Math.max(1, Math.floor(MAX_PROMOTED_SHARE * slots));
+    return this.#options.leaseManager.ledger.promotedCount < most;
   }
 
-  /** Whether the request leaves the reserve that long work cannot take. */
-  #isLengthOpen(waiter: Waiter, slots: number): boolean {
-    const { accounts, features: decisions } = this.#options;
-    if (!waiter.isLong || !decisions.crowding) return true;
-    const reserve = Math.floor(SHORT_RESERVE * slots);
-    return accounts.ledger.longCount < Math.max(1, slots - reserve);
+  /** Whether granting the request leaves the reserve for short requests. */
+  #canGrantLong(waiter: Waiter, slots: number): boolean {
+    const { leaseManager, features } = this.#options;
+    if (!waiter.isLong || !features.crowding) return true;
+    const reserve = Math.floor(SHORT_REQUEST_RESERVE * slots);
+    return leaseManager.ledger.longCount < Math.max(1, slots - reserve);
   }
 }
--- a/src/process/scheduler/heap.ts
+++ b/src/process/scheduler/heap.ts
@@ -1,14 +1,14 @@
 /**
- * A binary heap that can also drop or move an item in the middle.
+ * A binary heap with removal and key updates of any item.
  *
  * @module
  */
 
-/** Keeps the item that comes first at hand; each change costs O(log n). */
+/** Indexed binary heap: O(1) access to the first item, O(log n) changes. */
 export class Heap<T> {
   readonly #isBefore: (left: T, right: T) => boolean;
   readonly #items: T[] = [];
-  readonly #places = new Map<T, number>();
+  readonly #indexes = new Map<T, number>();
 
   constructor(isBefore: (left: T, right: T) => boolean) {
     this.#isBefore = isBefore;
@@ -23,7 +23,7 @@
   }
 
   has(item: T): boolean {
-    return this.#places.has(item);
+    return this.#indexes.has(item);
   }
 
   getFirst(): T | undefined {
@@ -32,7 +32,7 @@
 
   push(item: T): void {
     this.#items.push(item);
-    this.#places.set(item, this.#items.length - 1);
+    this.#indexes.set(item, this.#items.length - 1);
     this.#updateUp(this.#items.length - 1);
   }
 
@@ -43,65 +43,65 @@
   }
 
   remove(item: T): boolean {
-    const place = this.#places.get(item);
-    if (place === undefined) return false;
-    this.#places.delete(item);
+    const index = this.#indexes.get(item);
+    if (index === undefined) return false;
+    this.#indexes.delete(item);
     const last = this.#items.pop()!;
-    if (place < this.#items.length) {
-      this.#put(last, place);
-      this.#updatePlace(place);
+    if (index < this.#items.length) {
+      this.#put(last, index);
+      this.#updateIndex(index);
     }
     return true;
   }
 
-  /** Moves `item` to its place after its key changed. */
+  /** Restores the heap order after the key of `item` changed. */
   update(item: T): void {
-    const place = this.#places.get(item);
-    if (place !== undefined) this.#updatePlace(place);
+    const index = this.#indexes.get(item);
+    if (index !== undefined) this.#updateIndex(index);
   }
 
   list(): IterableIterator<T> {
     return this.#items.values();
   }
 
-  #updatePlace(place: number): void {
-    this.#updateUp(place);
-    this.#updateDown(place);
+  #updateIndex(index: number): void {
+    this.#updateUp(index);
+    this.#updateDown(index);
   }
 
   #updateUp(start: number): void {
-    let place = start;
-    const item = this.#items[place]!;
-    while (place > 0) {
-      const parent = (place - 1) >> 1;
-      const above = this.#items[parent]!;
-      if (!this.#isBefore(item, above)) break;
-      this.#put(above, place);
-      place = parent;
+    let index = start;
+    const item = this.#items[index]!;
+    while (index > 0) {
+      const parentIndex = (index - 1) >> 1;
+      const parentItem = this.#items[parentIndex]!;
+      if (!this.#isBefore(item, parentItem)) break;
+      this.#put(parentItem, index);
+      index = parentIndex;
     }
-    this.#put(item, place);
+    this.#put(item, index);
   }
 
   #updateDown(start: number): void {
-    let place = start;
-    const item = this.#items[place]!;
+    let index = start;
+    const item = this.#items[index]!;
     const size = this.#items.length;
     while (true) {
-      let child = 2 * place + 1;
+      let child = 2 * index + 1;
       if (child >= size) break;
       const right = child + 1;
       if (
         right < size && this.#isBefore(this.#items[right]!, this.#items[child]!)
       ) child = right;
       if (!this.#isBefore(this.#items[child]!, item)) break;
-      this.#put(this.#items[child]!, place);
-      place = child;
+      this.#put(this.#items[child]!, index);
+      index = child;
     }
-    this.#put(item, place);
+    this.#put(item, index);
   }
 
-  #put(item: T, place: number): void {
-    this.#items[place] = item;
-    this.#places.set(item, place);
+  #put(item: T, index: number): void {
+    this.#items[index] = item;
+    this.#indexes.set(item, index);
   }
 }
--- a/src/process/scheduler/held_slot.ts
+++ b/src/process/scheduler/held_slot.ts
@@ -1,5 +1,5 @@
 /**
- * A slot in this VM's hands.
+ * A slot that this VM holds.
  *
  * @module
  */
@@ -16,7 +16,6 @@
 import type { LeaseUpdate, RateLimitUpdate, SlotLease } from "../peer_api.ts";
 import { HeldLease, type LeaseProgress } from "../services.ts";
 
-/** What a held slot is made of. */
 export interface HeldSlotOptions {
   clock: Clock;
   slot: SlotLease;
@@ -25,14 +24,17 @@
   workspace: WorkspaceName;
   idempotent: boolean;
   promptTokens: number;
-  /** This VM's time before it asked, from which the lease counts. */
-  askedAt: number;
+  /**
+   * Time before the acquire call was sent; the lease's time to live starts
+   * here.
+   */
+  requestedAt: number;
   onRelease: (slot: HeldSlot) => void;
-  /** Hears what the upstream's answer asks. */
+  /** Called with the rate limit, back-off and leaving notice of a response. */
   onSignals: (signals: UpstreamSignals) => void;
 }
 
-/** A lease with what the holder knows of its work. */
+/** A lease together with the progress of its request. */
 export class HeldSlot extends HeldLease {
   readonly shard: ShardId;
   readonly byOwner: boolean;
@@ -45,10 +47,10 @@
     betweenTokensMs: undefined,
   };
   #validUntil: number;
-  /** When the owner last heard of the lease; undefined before it did. */
+  /** Sending time of the last report that the owner received. */
   #announcedAt: number | undefined;
   #announcedFirstToken = false;
-  /** The limit that the upstream named, infinite for none, and when. */
+  /** The last rate limit that the upstream reported (infinite for none). */
   #rateLimit: { requestsPerS: number; at: number } | undefined;
   #announcedRateLimit = false;
   #backOffUntil = -Infinity;
@@ -58,7 +60,7 @@
     this.#options = options;
     this.shard = options.slot.shard;
     this.byOwner = options.slot.byOwner;
-    this.#validUntil = options.askedAt + options.slot.ttlMs;
+    this.#validUntil = options.requestedAt + options.slot.ttlMs;
   }
 
   static create(options: HeldSlotOptions): HeldSlot {
@@ -109,15 +111,15 @@
     this.#options.onRelease(this);
   }
 
-  /** The owner wants the slot back. */
+  /** Signals that the owner has preempted the lease. */
   preempt(): void {
     this.#preempted.abort();
   }
 
-  /** The owner took a renewal in that was sent at `sentAt`. */
+  /** Applies a renewal that was sent at `sentAt` and accepted by the owner. */
   renew(sentAt: number, ttlMs: number): void {
-    // A lease that lapsed stays lapsed: its slot may have been granted to
-    // another meanwhile, and only a send that has begun may go on.
+    // A renewal never restores an expired lease, because its slot may have been
+    // granted to another request. Only a send that has already begun continues.
     if (sentAt < this.#validUntil) {
       this.#validUntil = Math.max(this.#validUntil, sentAt + ttlMs);
     }
@@ -126,17 +128,17 @@
     this.#announcedRateLimit = this.#rateLimit !== undefined;
   }
 
-  /** Whether the owner should hear of the lease again. */
-  isDue(now: number, everyMs: number): boolean {
+  /** Whether the lease should be reported to the owner again. */
+  isRenewalDue(now: number, intervalMs: number): boolean {
     if (this.#announcedAt === undefined) return true;
-    if (now - this.#announcedAt >= everyMs) return true;
+    if (now - this.#announcedAt >= intervalMs) return true;
     if (!this.#announcedRateLimit && this.#rateLimit !== undefined) return true;
     return !this.#announcedFirstToken &&
       this.#progress.firstTokenMs !== undefined;
   }
 
-  /** The news of the lease as it is now. */
-  buildNews(): LeaseUpdate {
+  /** Builds the update of the lease's current state. */
+  buildUpdate(): LeaseUpdate {
     const { ticket, className, workspace, idempotent, promptTokens } =
       this.#options;
     return {
--- a/src/process/scheduler/index.ts
+++ b/src/process/scheduler/index.ts
@@ -1,9 +1,10 @@
 /**
- * The shard owner's queue and decisions, and the entry VM's lease client.
+ * Scheduling of requests: shard owners that queue requests and grant slots, and
+ * the lease client of entry VMs.
  *
  * @module
  */
-export type { SchedulerFeatures as SchedulerDecisions } from "./scheduler_features.ts";
+export type { SchedulerFeatures } from "./scheduler_features.ts";
 export { LeaseClient } from "./lease_client.ts";
 export type { LeaseClientOptions } from "./lease_client.ts";
 export { ShardOwner } from "./shard_owner.ts";
@@ -14,7 +15,7 @@
   buildShardId,
   buildShardKey,
   chooseShardOfUpstream,
-  listNonEmptyShards as listShards,
+  listNonEmptyShards,
   listPoolShards,
   listShardUpstreams,
 } from "./shards.ts";
--- a/src/process/scheduler/latency_track.ts
+++ b/src/process/scheduler/latency_track.ts
@@ -1,15 +1,15 @@
 /**
- * How one replica's latencies and failures look lately.
+ * Recent latencies and failures of one replica.
  *
  * @module
  */
 
-/** Weight of a new sample. */
+/** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.2;
 /** Samples below which a replica is not compared with others. */
 const MIN_SAMPLES = 5;
 
-/** Smoothed latencies as a part of the class's targets, and failures. */
+/** Moving averages of latencies relative to their targets, and failures. */
 export class LatencyTrack {
   #firstToken: number | undefined;
   #betweenTokens: number | undefined;
@@ -20,15 +20,15 @@
     return new LatencyTrack();
   }
 
-  /** Failures one after the other. */
+  /** Consecutive failures. */
   get failures(): number {
     return this.#failures;
   }
 
   /**
-   * One figure to compare replicas by; undefined before enough is known. Both
-   * latencies are parts of their targets, so that classes with short prompts
-   * and classes with long ones can be put together.
+   * Latency relative to the target, to compare replicas by; undefined while
+   * there are too few samples. Ratios to the targets make classes with short
+   * and with long prompts comparable.
    */
   get slowness(): number | undefined {
     if (this.#samples < MIN_SAMPLES) return undefined;
@@ -36,13 +36,13 @@
   }
 
   noteFirstToken(ratio: number): void {
-    this.#firstToken = mergeSample(this.#firstToken, ratio);
+    this.#firstToken = updateMean(this.#firstToken, ratio);
     this.#samples++;
     this.#failures = 0;
   }
 
   noteBetweenTokens(ratio: number): void {
-    this.#betweenTokens = mergeSample(this.#betweenTokens, ratio);
+    this.#betweenTokens = updateMean(this.#betweenTokens, ratio);
     this.#samples++;
     this.#failures = 0;
   }
@@ -55,7 +55,7 @@
     this.#failures = 0;
   }
 
-  /** Starts anew, so that old samples do not count after a return. */
+  /** Drops all samples, so that old ones do not count after a return. */
   clear(): void {
     this.#firstToken = undefined;
     this.#betweenTokens = undefined;
@@ -64,6 +64,6 @@
   }
 }
 
-function mergeSample(mean: number | undefined, sample: number): number {
+function updateMean(mean: number | undefined, sample: number): number {
   return mean === undefined ? sample : mean + SAMPLE_WEIGHT * (sample - mean);
 }
--- a/src/process/scheduler/lease_client.ts
+++ b/src/process/scheduler/lease_client.ts
@@ -1,6 +1,6 @@
 /**
- * The entry VM's way to slots: waits in the queue of a shard's owner, or takes
- * from this VM's own share while no owner answers.
+ * Acquires slots for an entry VM from shard owners. While a shard's owner is
+ * unreachable, it uses this VM's local share of the shard's slots.
  *
  * @module
  */
@@ -27,61 +27,62 @@
 import { chooseShard } from "./shard_choice.ts";
 import {
   type AcquireOptions,
-  buildCancelled,
-  buildLocalWish,
-  buildNoUpstream,
-  buildUnreachable,
+  buildCancelledRefusal,
+  buildLocalRequirements,
+  buildNoUpstreamRefusal,
+  buildUnreachableRefusal,
   type SlotWait,
 } from "./slot_wait.ts";
 
-/** Silence of an owner after which the VM's own share is used: one call. */
-const OWNER_SILENCE_MS = HOLD_MS + ANSWER_MARGIN_MS;
-/** A call that takes so much longer than it may was held up by a pause. */
+/**
+ * Time without an answer from the owner after which the local share is used:
+ * the longest duration of one call.
+ */
+const OWNER_TIMEOUT_MS = HOLD_MS + ANSWER_MARGIN_MS;
+/** A call that exceeds its time-out by this much indicates a paused process. */
 const PAUSE_MARGIN_MS = 500;
-/** How long a request waits for a place in the VM's own share. */
-const LOCAL_WAIT_MS = 2_000;
-/** Between two tries while no owner answers. */
-const RETRY_MS = 100;
-/** Shards that a request is passed on to at most. */
-const MAX_HOPS = 3;
+/** How long a request waits for a slot of the local share. */
+const MAX_LOCAL_WAIT_MS = 2_000;
+/** Time between two attempts while no owner answers. */
+const RETRY_INTERVAL_MS = 100;
+const MAX_FORWARDS = 3;
 
-/** What the client is made of. */
 export interface LeaseClientOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
-  /** This VM's own answers, for shards that it owns itself. */
+  /** The API of this VM itself, used for shards that it owns. */
   getLocal: () => PeerApi;
-  /** What the owner of a shard last let the fleet know of it. */
+  /** Finds the latest summary that a shard's owner has published. */
   findSummary?: (shard: ShardId) => ShardSummary | undefined;
-  /** Hears that an upstream said in an answer that it leaves. */
+  /** Called when an upstream's response announces that it is leaving. */
   onUpstreamLeaving?: (upstream: VmId) => void;
 }
 
-/** Acquires slots from the owners of shards. */
+/** Acquires slots from shard owners and keeps their leases renewed. */
 export class LeaseClient extends LeaseSource {
   readonly #options: LeaseClientOptions;
   readonly #environment: Environment;
-  readonly #calls: OwnerClient;
+  readonly #ownerClient: OwnerClient;
   readonly #syncs: LeaseSyncs;
-  readonly #local: LocalSlots;
+  readonly #localSlots: LocalSlots;
   readonly #stopped = new AbortController();
-  readonly #prefix: string;
-  #tickets = 0;
+  readonly #ticketPrefix: string;
+  #ticketCount = 0;
 
   constructor(options: LeaseClientOptions) {
     super();
     this.#options = options;
     this.#environment = options.environment;
     const { vm, random } = options.environment;
-    this.#prefix = `${vm}.${random.nextHex(8)}`;
-    this.#calls = OwnerClient.create({
+    this.#ticketPrefix = `${vm}.${random.nextHex(8)}`;
+    this.#ownerClient = OwnerClient.create({
       environment: options.environment,
       membership: options.membership,
       getLocal: options.getLocal,
     });
     this.#syncs = LeaseSyncs.create(options);
-    this.#local = LocalSlots.create(options);
+    this.#localSlots = LocalSlots.create(options);
     options.membership.onChange(() => this.#onMembershipChange());
   }
 
@@ -89,7 +90,7 @@
     return new LeaseClient(options);
   }
 
-  /** Starts to renew and return leases. */
+  /** Starts renewing and returning leases. */
   start(): void {
     void this.#syncs.run(this.#stopped.signal);
   }
@@ -103,11 +104,11 @@
     options: AcquireOptions,
   ): Promise<HeldLease> {
     const wait = this.#buildWait(request, options);
-    this.#local.addWaiting(wait.shard, wait.rank);
+    this.#localSlots.addWaiting(wait.shard, wait.rank);
     try {
       return await this.#waitForSlot(wait);
     } finally {
-      this.#local.removeWaiting(wait.shard, wait.rank);
+      this.#localSlots.removeWaiting(wait.shard, wait.rank);
     }
   }
 
@@ -115,24 +116,25 @@
     const { clock } = this.#environment;
     while (true) {
       this.#checkCancelled(wait);
-      const askedAt = clock.now();
-      const answer = await this.#calls.acquire({
+      const requestedAt = clock.now();
+      const answer = await this.#ownerClient.acquire({
         ...wait,
         signal: wait.options.signal,
-        // While the owner is silent a call only tests whether it is back.
-        holdMs: wait.silentSince === undefined ? HOLD_MS : 0,
+        // While the owner is unreachable, a call only tests whether it answers.
+        holdMs: wait.unreachableSince === undefined ? HOLD_MS : 0,
       });
-      // A grant is taken even when the caller has gone: it must be returned.
+      // A grant is accepted even if the caller has disconnected, because it has
+      // to be returned.
       if (answer?.kind === "granted") {
-        return this.#openSlot(wait, answer.lease, askedAt);
+        return this.#openSlot(wait, answer.lease, requestedAt);
       }
       this.#checkCancelled(wait);
       if (answer === undefined || answer.kind === "not_owner") {
-        const local = await this.#waitWithoutOwner(wait, askedAt);
+        const local = await this.#waitWithoutOwner(wait, requestedAt);
         if (local !== undefined) return local;
         continue;
       }
-      wait.silentSince = undefined;
+      wait.unreachableSince = undefined;
       this.#applyAnswer(wait, answer);
     }
   }
@@ -144,20 +146,20 @@
     match(answer)
       .with({ kind: "queued" }, ({ ahead, behind, expectedMs }) => {
         wait.queuedCount++;
-        // Each answer is a step at first, then ever fewer: a long wait would
-        // fill the request's record.
+        // Only answers 1, 2, 4, 8 and so on are recorded, so that a long wait
+        // does not fill the request's status record.
         if (!isPowerOfTwo(wait.queuedCount)) return;
-        const order = behind === "" ? "" : ` (${behind})`;
+        const groups = behind === "" ? "" : ` (${behind})`;
         this.#noteStep(wait, "queued", {
-          detail: `${ahead} ahead${order} in ${wait.shard}, ` +
+          detail: `${ahead} ahead${groups} in ${wait.shard}, ` +
             `expected wait ${expectedMs} ms`,
         });
       })
       .with({ kind: "pass_on" }, ({ shard }) => {
-        // Past the bound the same shard is asked again; it does not pass a
-        // ticket on twice.
-        if (wait.hops >= MAX_HOPS) return;
-        wait.hops++;
+        // Beyond the limit the request stays in its shard, which does not
+        // forward a ticket twice.
+        if (wait.forwardCount >= MAX_FORWARDS) return;
+        wait.forwardCount++;
         this.#noteStep(wait, "passed_on", {
           detail: `from ${wait.shard} to ${shard}, which serves a lower tier`,
         });
@@ -171,57 +173,60 @@
   }
 
   /**
-   * Goes on with a new ticket. The owner closes a ticket whose grant lapsed
-   * before this VM took it up, as when this process was paused. The caller
-   * still waits: it would be told that it had gone away. The request's age
-   * keeps its place in the queue.
+   * Replaces the ticket. If this process was paused, the owner may have closed
+   * the ticket because its grant expired before this VM received it. The caller
+   * is still waiting and must not get the refusal "cancelled". The request's
+   * age preserves its position in the queue.
    */
   #renewTicket(wait: SlotWait): void {
     wait.ticket = this.#createTicket();
   }
 
   #setShard(wait: SlotWait, shard: ShardId): void {
-    this.#local.removeWaiting(wait.shard, wait.rank);
-    this.#local.addWaiting(shard, wait.rank);
+    this.#localSlots.removeWaiting(wait.shard, wait.rank);
+    this.#localSlots.addWaiting(shard, wait.rank);
     wait.shard = shard;
   }
 
   /**
-   * No owner answers, or none knows that it is. Tries again shortly, and after
-   * a bounded silence uses this VM's own share of the shard.
+   * Handles a call that no owner answered. Sleeps before the next attempt, or
+   * takes a slot of the local share once the owner has been unreachable for
+   * `OWNER_TIMEOUT_MS`. Refuses the request if the share has no slot for it.
    */
   async #waitWithoutOwner(
     wait: SlotWait,
-    askedAt: number,
+    requestedAt: number,
   ): Promise<HeldLease | undefined> {
     const { clock } = this.#environment;
     const now = clock.now();
-    // A process that was paused finds its call unanswered when it wakes, though
-    // the owner was never silent: it would refuse, or use its own share, at
-    // once. A call that took longer than it may tells of the pause.
-    const wasPaused = now - askedAt > OWNER_SILENCE_MS + PAUSE_MARGIN_MS;
-    if (wasPaused) wait.silentSince = now;
-    wait.silentSince ??= askedAt;
-    const silentMs = now - wait.silentSince;
-    if (silentMs >= OWNER_SILENCE_MS) {
+    // After a pause of this process the call has timed out although the owner
+    // was reachable. The time without an answer then starts again, so that the
+    // request is not refused and the local share is not used at once.
+    const wasPaused = now - requestedAt > OWNER_TIMEOUT_MS + PAUSE_MARGIN_MS;
+    if (wasPaused) wait.unreachableSince = now;
+    wait.unreachableSince ??= requestedAt;
+    const unreachableMs = now - wait.unreachableSince;
+    if (unreachableMs >= OWNER_TIMEOUT_MS) {
       const slot = this.#takeLocal(wait);
       if (slot !== undefined) return slot;
-      const mayWait = silentMs < OWNER_SILENCE_MS + LOCAL_WAIT_MS;
-      if (!mayWait || !this.#local.hasShare(buildLocalWish(wait))) {
+      const mayWait = unreachableMs < OWNER_TIMEOUT_MS + MAX_LOCAL_WAIT_MS;
+      if (
+        !mayWait || !this.#localSlots.hasShare(buildLocalRequirements(wait))
+      ) {
         this.#cancelTicket(wait);
-        throw new RefusalError(buildUnreachable());
+        throw new RefusalError(buildUnreachableRefusal());
       }
     }
-    await clock.sleep(RETRY_MS, wait.options.signal);
+    await clock.sleep(RETRY_INTERVAL_MS, wait.options.signal);
     return undefined;
   }
 
   #takeLocal(wait: SlotWait): HeldLease | undefined {
-    const slot = this.#local.take(buildLocalWish(wait));
+    const slot = this.#localSlots.take(buildLocalRequirements(wait));
     if (slot === undefined) return undefined;
     this.#cancelTicket(wait);
-    // The owner releases whatever it has granted to a withdrawn ticket; the
-    // local slot must not be taken for that.
+    // The owner releases any lease of a withdrawn ticket. The local slot needs
+    // a new ticket, or it would be released too.
     this.#renewTicket(wait);
     this.#environment.log.warn("local_share_used", {
       request: wait.request.requestId,
@@ -231,7 +236,7 @@
     return this.#openSlot(wait, slot, this.#environment.clock.now());
   }
 
-  #openSlot(wait: SlotWait, slot: SlotLease, askedAt: number): HeldLease {
+  #openSlot(wait: SlotWait, slot: SlotLease, requestedAt: number): HeldLease {
     const { request } = wait;
     const sync = this.#syncs.get(slot.shard);
     const held = HeldSlot.create({
@@ -242,9 +247,9 @@
       workspace: request.workspace,
       idempotent: request.idempotent,
       promptTokens: request.promptTokens,
-      askedAt,
+      requestedAt,
       onRelease: (released) => {
-        if (!released.byOwner) this.#local.release(released);
+        if (!released.byOwner) this.#localSlots.release(released);
         sync.addReturn(released);
       },
       onSignals: (signals) => this.#noteSignals(slot.upstream, signals),
@@ -254,7 +259,7 @@
   }
 
   #noteSignals(upstream: VmId, signals: UpstreamSignals): void {
-    this.#local.noteSignals(upstream, signals);
+    this.#localSlots.noteSignals(upstream, signals);
     if (signals.isLeaving) this.#options.onUpstreamLeaving?.(upstream);
   }
 
@@ -265,7 +270,7 @@
   #checkCancelled(wait: SlotWait): void {
     if (!wait.options.signal.aborted) return;
     this.#cancelTicket(wait);
-    throw new RefusalError(buildCancelled());
+    throw new RefusalError(buildCancelledRefusal());
   }
 
   #buildWait(request: LeaseRequest, options: AcquireOptions): SlotWait {
@@ -278,7 +283,7 @@
       findSummary: findSummary ?? (() => undefined),
     });
     if (snapshot === undefined || pool === undefined || shard === undefined) {
-      throw new RefusalError(buildNoUpstream(request));
+      throw new RefusalError(buildNoUpstreamRefusal(request));
     }
     return {
       request,
@@ -287,14 +292,14 @@
       shard,
       ticket: this.#createTicket(),
       rank: getClassRank(snapshot, request.className),
-      hops: 0,
+      forwardCount: 0,
       queuedCount: 0,
-      silentSince: undefined,
+      unreachableSince: undefined,
     };
   }
 
   #createTicket(): TicketId {
-    return toId<TicketId>(`${this.#prefix}.${this.#tickets++}`);
+    return toId<TicketId>(`${this.#ticketPrefix}.${this.#ticketCount++}`);
   }
 
   #noteStep(
@@ -303,7 +308,7 @@
     fields: { detail: string },
   ): void {
     const ageMs = this.#environment.clock.now() - wait.request.arrivedAt;
-    const peer: VmId | undefined = this.#calls.findOwner(wait.shard);
+    const peer: VmId | undefined = this.#ownerClient.findOwner(wait.shard);
     const detail = fields.detail;
     wait.options.onStep(
       peer === undefined ? { step, ageMs, detail } : {
@@ -317,8 +322,8 @@
 
   #onMembershipChange(): void {
     if (this.#stopped.signal.aborted) return;
-    this.#local.dropUnlisted();
-    this.#calls.onMembershipChange();
+    this.#localSlots.dropUnlisted();
+    this.#ownerClient.onMembershipChange();
     this.#syncs.announceToNewOwners();
   }
 }
--- a/src/process/scheduler/lease_entries.ts
+++ b/src/process/scheduler/lease_entries.ts
@@ -1,6 +1,6 @@
 /**
- * Entries of the lease ledger: made at a grant or from a holder's word, and
- * what they cost.
+ * Builds entries of the lease ledger from grants and from holders'
+ * announcements, and computes their cost.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { Waiter } from "./waiter.ts";
 import { PROMPT_TOKEN_COST } from "./waiter_factory.ts";
 
-/** What every lease begins with: nothing is known of its answer yet. */
+/** Initial progress of every lease. */
 const NO_PROGRESS = {
   tokens: 0,
   firstTokenMs: undefined,
@@ -18,7 +18,7 @@
   preempted: false,
 } as const;
 
-/** The entry of a lease that is granted to `waiter` now. */
+/** Builds the entry of a lease that is granted to `waiter`. */
 export function buildGrantedEntry(
   waiter: Waiter,
   options: {
@@ -57,9 +57,9 @@
   };
 }
 
-/** The entry of a lease that another owner or a local share granted. */
+/** Builds the entry of a lease granted by another owner or a local share. */
 export function buildAnnouncedEntry(
-  news: LeaseUpdate,
+  update: LeaseUpdate,
   options: {
     holder: VmId;
     rank: number;
@@ -70,20 +70,20 @@
 ): LeaseEntry {
   return {
     ...NO_PROGRESS,
-    lease: news.lease,
-    ticket: news.ticket,
+    lease: update.lease,
+    ticket: update.ticket,
     holder: options.holder,
-    upstream: news.upstream,
-    className: news.className,
-    workspace: news.workspace,
+    upstream: update.upstream,
+    className: update.className,
+    workspace: update.workspace,
     rank: options.rank,
     weight: options.weight,
     modelKey: "",
-    idempotent: news.idempotent,
+    idempotent: update.idempotent,
     isLong: false,
     isOwnGrant: false,
     doneTokens: 0,
-    promptTokens: news.promptTokens,
+    promptTokens: update.promptTokens,
     grantedAt: options.now,
     deadlineAt: Infinity,
     isPromoted: false,
@@ -95,16 +95,16 @@
 }
 
 /**
- * What a finished lease cost, in tokens as fair sharing counts; work without
- * tokens counts one for each call.
+ * Computes the fair-share cost of a finished lease in tokens. Requests without
+ * tokens cost one each.
  */
 export function computeServedCost(entry: LeaseEntry): number {
   if (entry.modelKey === "") return 1;
   return Math.max(1, entry.tokens) + PROMPT_TOKEN_COST * entry.promptTokens;
 }
 
-/** The lease as its holder would announce it. */
-export function toNews(entry: LeaseEntry): LeaseUpdate {
+/** Converts an entry to the update that its holder would send. */
+export function toLeaseUpdate(entry: LeaseEntry): LeaseUpdate {
   return {
     lease: entry.lease,
     ticket: entry.ticket,
--- a/src/process/scheduler/lease_ledger.ts
+++ b/src/process/scheduler/lease_ledger.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's account of the slots that it granted: the truth about load.
+ * The shard owner's record of slots in use, which is authoritative for load.
  *
  * @module
  */
@@ -11,8 +11,8 @@
   WorkspaceName,
 } from "../../ids.ts";
 
-/** How long a closed lease or ticket is remembered, in milliseconds. */
-const REMEMBER_MS = 15_000;
+/** How long the id of a closed lease or ticket is kept, in milliseconds. */
+const CLOSED_TTL_MS = 15_000;
 
 /** One slot in use. */
 export interface LeaseEntry {
@@ -28,30 +28,30 @@
   readonly modelKey: string;
   readonly idempotent: boolean;
   readonly isLong: boolean;
-  /** It went before a higher tier that waited. */
+  /** Granted ahead of a waiting request of a higher tier. */
   readonly isPromoted: boolean;
-  /** False for a lease that another owner or a local share granted. */
+  /** False for a lease granted by another owner or from a VM's local share. */
   readonly isOwnGrant: boolean;
-  /** Tokens that an earlier try had delivered. */
+  /** Tokens delivered by earlier attempts. */
   readonly doneTokens: number;
   readonly promptTokens: number;
   readonly grantedAt: number;
-  /** Until when the request should end; infinite where not known. */
+  /** Deadline of the request; infinite if unknown. */
   readonly deadlineAt: number;
-  /** What fair sharing counted at the grant. */
+  /** Cost charged to fair sharing at the grant. */
   readonly chargedCost: number;
   readonly expectedTokens: number;
-  /** The engine's priority, repeated to a holder that asks again. */
+  /** Priority passed to the engine; repeated in answers to repeated calls. */
   readonly priority: number;
   expiresAt: number;
   tokens: number;
   firstTokenMs: number | undefined;
   betweenTokensMs: number | undefined;
-  /** The holder has been told to stop. */
+  /** The holder has been asked to stop. */
   preempted: boolean;
 }
 
-/** Leases by id and ticket, with memory of those closed lately. */
+/** Leases by id and by ticket, with the ids of recently closed ones. */
 export class LeaseLedger {
   readonly #leases = new Map<LeaseId, LeaseEntry>();
   readonly #byTicket = new Map<TicketId, LeaseEntry>();
@@ -69,12 +69,12 @@
     return this.#leases.size;
   }
 
-  /** Running leases of long work. */
+  /** Running leases of long requests. */
   get longCount(): number {
     return this.#long;
   }
 
-  /** Running leases that went before a higher tier. */
+  /** Running leases that were granted ahead of a higher tier. */
   get promotedCount(): number {
     return this.#promoted;
   }
@@ -99,7 +99,7 @@
     return this.#runningByRank.get(rank) ?? 0;
   }
 
-  /** Running leases of tiers above `rank`. */
+  /** Counts running leases of tiers above `rank`. */
   countAboveRank(rank: number): number {
     let count = 0;
     for (const [other, running] of this.#runningByRank) {
@@ -108,7 +108,7 @@
     return count;
   }
 
-  /** The largest rank that runs; undefined when nothing runs. */
+  /** Finds the lowest running tier (largest rank); undefined if none runs. */
   findLowestRank(): number | undefined {
     let lowest: number | undefined;
     for (const [rank, running] of this.#runningByRank) {
@@ -120,10 +120,10 @@
   add(entry: LeaseEntry): void {
     this.#leases.set(entry.lease, entry);
     this.#byTicket.set(entry.ticket, entry);
-    this.#count(entry, 1);
+    this.#updateCounts(entry, 1);
   }
 
-  /** Takes `lease` out and remembers that it is closed. */
+  /** Removes `lease` and records it and its ticket as closed. */
   remove(lease: LeaseId, now: number): LeaseEntry | undefined {
     const entry = this.#leases.get(lease);
     if (entry === undefined) return undefined;
@@ -131,20 +131,20 @@
     if (this.#byTicket.get(entry.ticket) === entry) {
       this.#byTicket.delete(entry.ticket);
     }
-    this.#count(entry, -1);
+    this.#updateCounts(entry, -1);
     this.noteClosed(lease, now);
     this.noteClosed(entry.ticket, now);
     return entry;
   }
 
   /**
-   * Remembers a closed lease or ticket. Calls can come late or twice: without
-   * this a late renewal would bring a returned lease back, and a late acquire
-   * would take a slot that nobody waits for. Either shows as a slot that is in
-   * use until its lease runs out.
+   * Records a lease or ticket as closed. Calls can be delayed or repeated:
+   * without this record a late renewal would restore a returned lease, and a
+   * late acquire would take a slot that no caller uses. Either would keep the
+   * slot occupied until the lease expires.
    */
   noteClosed(id: LeaseId | TicketId, now: number): void {
-    this.#closed.set(id, now + REMEMBER_MS);
+    this.#closed.set(id, now + CLOSED_TTL_MS);
   }
 
   isClosed(id: LeaseId | TicketId, now: number): boolean {
@@ -152,8 +152,8 @@
     return until !== undefined && until > now;
   }
 
-  /** Removes and gives the leases that ran out. */
-  takeExpired(now: number): LeaseEntry[] {
+  /** Removes and returns the expired leases. */
+  removeExpired(now: number): LeaseEntry[] {
     const expired: LeaseEntry[] = [];
     for (const entry of this.#leases.values()) {
       if (entry.expiresAt <= now) expired.push(entry);
@@ -163,14 +163,14 @@
   }
 
   dropOldClosed(now: number): void {
-    // A map lists its keys in order of insertion, the oldest first.
+    // Map entries are in insertion order, so the oldest come first.
     for (const [id, until] of this.#closed) {
       if (until > now) return;
       this.#closed.delete(id);
     }
   }
 
-  #count(entry: LeaseEntry, change: number): void {
+  #updateCounts(entry: LeaseEntry, change: number): void {
     const inUse = this.countInUse(entry.upstream) + change;
     if (inUse === 0) this.#inUse.delete(entry.upstream);
     else this.#inUse.set(entry.upstream, inUse);
--- a/src/process/scheduler/lease_manager.ts
+++ b/src/process/scheduler/lease_manager.ts
@@ -1,5 +1,6 @@
 /**
- * Opens, renews and settles a shard's leases, and learns from each.
+ * Opens, renews and closes a shard's leases, and records their durations,
+ * output lengths and outcomes.
  *
  * @module
  */
@@ -12,7 +13,7 @@
   buildAnnouncedEntry,
   buildGrantedEntry,
   computeServedCost,
-  toNews,
+  toLeaseUpdate,
 } from "./lease_entries.ts";
 import { type LeaseEntry, LeaseLedger } from "./lease_ledger.ts";
 import type { OutputLengths } from "./output_lengths.ts";
@@ -22,24 +23,23 @@
 import type { Waiter } from "./waiter.ts";
 import { UNKNOWN_RANK, type WaiterFactory } from "./waiter_factory.ts";
 
-/** How long a renewed lease stands, in milliseconds. */
+/** Time to live of a renewed lease, in milliseconds. */
 export const LEASE_TTL_MS = 6_000;
 /**
- * How long a lease stands before its first renewal, in milliseconds. Shorter,
- * so that a grant whose answer was lost gives its slot back soon.
+ * Time to live before the first renewal, in milliseconds. It is shorter so that
+ * the slot is free again soon if the answer to the grant was lost.
  */
 export const INITIAL_LEASE_TTL_MS = 3_000;
 
-/** What the accounts work on. */
 export interface LeaseManagerOptions {
   shard: ShardId;
   random: Random;
   replicas: ReplicaSet;
   factory: WaiterFactory;
   lengths: OutputLengths;
-  speed: ServiceTimes;
+  serviceTimes: ServiceTimes;
   features: SchedulerFeatures;
-  /** Hears what a returned lease cost in the end, as fair sharing counts. */
+  /** Called with the final fair-share cost of a returned lease. */
   onClosed: (entry: LeaseEntry, cost: number) => void;
 }
 
@@ -47,13 +47,13 @@
 export class LeaseManager {
   readonly ledger = LeaseLedger.create();
   readonly #options: LeaseManagerOptions;
-  readonly #prefix: string;
+  readonly #leaseIdPrefix: string;
   readonly #preempted = new Set<LeaseEntry>();
-  #counter = 0;
+  #leaseCount = 0;
 
   constructor(options: LeaseManagerOptions) {
     this.#options = options;
-    this.#prefix = options.random.nextHex(8);
+    this.#leaseIdPrefix = options.random.nextHex(8);
   }
 
   static create(options: LeaseManagerOptions): LeaseManager {
@@ -82,7 +82,7 @@
     return this.buildSlotLease(entry);
   }
 
-  /** The lease as its holder gets it. */
+  /** Builds the lease that is sent to its holder. */
   buildSlotLease(entry: LeaseEntry): SlotLease {
     return {
       lease: entry.lease,
@@ -94,49 +94,49 @@
     };
   }
 
-  /** Takes in what `holder` says of a lease; a repeat does no harm. */
-  applyNews(
-    news: LeaseUpdate,
+  /** Applies a holder's update of a lease. Idempotent. */
+  applyUpdate(
+    update: LeaseUpdate,
     options: { holder: VmId; now: number },
   ): void {
     const { now } = options;
-    this.#noteSignals(news, now);
-    if (this.ledger.isClosed(news.lease, now)) return;
-    const known = this.ledger.get(news.lease);
-    if (known === undefined && news.state !== "running") {
-      this.ledger.noteClosed(news.lease, now);
-      this.ledger.noteClosed(news.ticket, now);
+    this.#noteSignals(update, now);
+    if (this.ledger.isClosed(update.lease, now)) return;
+    const known = this.ledger.get(update.lease);
+    if (known === undefined && update.state !== "running") {
+      this.ledger.noteClosed(update.lease, now);
+      this.ledger.noteClosed(update.ticket, now);
       return;
     }
-    const entry = known ?? this.#addAnnounced(news, options);
-    this.#noteProgress(entry, news, now);
-    if (news.state === "running") {
+    const entry = known ?? this.#addAnnounced(update, options);
+    this.#noteProgress(entry, update, now);
+    if (update.state === "running") {
       entry.holder = options.holder;
       entry.expiresAt = now + LEASE_TTL_MS;
       return;
     }
-    this.#settle(entry, news, now);
+    this.#closeFinished(entry, update, now);
   }
 
-  /** Gives back the slot of a ticket whose caller went away. */
+  /** Releases the slot of a ticket whose caller disconnected. */
   releaseTicket(entry: LeaseEntry, now: number): void {
     this.#close(entry, now);
   }
 
-  /** Closes the leases whose holders went silent; gives them. */
+  /** Closes and returns the leases that their holders did not renew in time. */
   closeExpired(now: number): LeaseEntry[] {
-    const expired = this.ledger.takeExpired(now);
+    const expired = this.ledger.removeExpired(now);
     for (const entry of expired) this.#noteClosed(entry, now);
     return expired;
   }
 
-  /** Marks `entry` to be stopped by its holder. */
+  /** Marks `entry` for its holder to stop. */
   preempt(entry: LeaseEntry): void {
     entry.preempted = true;
     this.#preempted.add(entry);
   }
 
-  /** The leases that `holder` should stop. */
+  /** Lists the leases that `holder` must stop. */
   listPreempted(holder: VmId): LeaseId[] {
     const leases: LeaseId[] = [];
     for (const entry of this.#preempted) {
@@ -145,12 +145,12 @@
     return leases;
   }
 
-  /** Every lease as its holder would announce it. */
-  listNews(): LeaseUpdate[] {
-    return [...this.ledger.list()].map(toNews);
+  /** Lists all leases as updates that their holders would send. */
+  listUpdates(): LeaseUpdate[] {
+    return [...this.ledger.list()].map(toLeaseUpdate);
   }
 
-  /** Expected time in the slot still to come, in milliseconds. */
+  /** Expected time until the slot is released, in milliseconds. */
   computeRemainingMs(entry: LeaseEntry, now: number): number {
     const requestClass = this.#options.factory.findClass(entry);
     if (requestClass === undefined) return 0;
@@ -173,21 +173,23 @@
 
   #createLeaseId(): LeaseId {
     const { shard } = this.#options;
-    return toId<LeaseId>(`${shard}:${this.#prefix}:${this.#counter++}`);
+    return toId<LeaseId>(
+      `${shard}:${this.#leaseIdPrefix}:${this.#leaseCount++}`,
+    );
   }
 
   #addAnnounced(
-    news: LeaseUpdate,
+    update: LeaseUpdate,
     options: { holder: VmId; now: number },
   ): LeaseEntry {
     const { factory } = this.#options;
-    const requestClass = factory.findClass(news);
-    const entry = buildAnnouncedEntry(news, {
+    const requestClass = factory.findClass(update);
+    const entry = buildAnnouncedEntry(update, {
       holder: options.holder,
       rank: requestClass === undefined
         ? UNKNOWN_RANK
         : factory.getRank(requestClass),
-      weight: factory.getWeight(news.workspace),
+      weight: factory.getWeight(update.workspace),
       expiresAt: options.now + LEASE_TTL_MS,
       now: options.now,
     });
@@ -195,8 +197,8 @@
     return entry;
   }
 
-  #noteSignals(news: LeaseUpdate, now: number): void {
-    const { upstream, rateLimit, backOffMs = 0 } = news;
+  #noteSignals(update: LeaseUpdate, now: number): void {
+    const { upstream, rateLimit, backOffMs = 0 } = update;
     const replica = this.#options.replicas.get(upstream);
     replica?.noteBackOff(now + backOffMs);
     if (rateLimit === undefined) return;
@@ -204,49 +206,49 @@
     replica?.rate.noteLimit(requestsPerS, now - ageMs);
   }
 
-  #noteProgress(entry: LeaseEntry, news: LeaseUpdate, now: number): void {
+  #noteProgress(entry: LeaseEntry, update: LeaseUpdate, now: number): void {
     const replica = this.#options.replicas.get(entry.upstream);
-    const isNewer = news.tokens > entry.tokens;
-    entry.tokens = Math.max(entry.tokens, news.tokens);
-    if (entry.firstTokenMs === undefined && news.firstTokenMs !== undefined) {
-      entry.firstTokenMs = news.firstTokenMs;
+    const isNewer = update.tokens > entry.tokens;
+    entry.tokens = Math.max(entry.tokens, update.tokens);
+    if (entry.firstTokenMs === undefined && update.firstTokenMs !== undefined) {
+      entry.firstTokenMs = update.firstTokenMs;
       const target = this.#findTarget(entry, "firstTokenMs");
-      replica?.latency.noteFirstToken(news.firstTokenMs / target);
+      replica?.latency.noteFirstToken(update.firstTokenMs / target);
     }
-    if (news.betweenTokensMs === undefined || !isNewer) return;
-    entry.betweenTokensMs = news.betweenTokensMs;
+    if (update.betweenTokensMs === undefined || !isNewer) return;
+    entry.betweenTokensMs = update.betweenTokensMs;
     const target = this.#findTarget(entry, "betweenTokensMs");
-    replica?.latency.noteBetweenTokens(news.betweenTokensMs / target);
+    replica?.latency.noteBetweenTokens(update.betweenTokensMs / target);
     replica?.limit.noteRatio(entry.className, {
-      ratio: news.betweenTokensMs / target,
+      ratio: update.betweenTokensMs / target,
       now,
     });
     replica?.limit.update(now);
   }
 
-  #settle(entry: LeaseEntry, news: LeaseUpdate, now: number): void {
+  #closeFinished(entry: LeaseEntry, update: LeaseUpdate, now: number): void {
     const replica = this.#options.replicas.get(entry.upstream);
-    if (news.state === "failed") replica?.latency.noteFailure();
-    if (news.state === "done") {
+    if (update.state === "failed") replica?.latency.noteFailure();
+    if (update.state === "done") {
       replica?.latency.noteSuccess();
       this.#recordFinished(entry, now);
     }
-    this.#close(entry, now, { isFailed: news.state === "failed" });
+    this.#close(entry, now, { isFailed: update.state === "failed" });
     if (!entry.isOwnGrant) return;
-    const cost = news.state === "unused" ? 0 : computeServedCost(entry);
+    const cost = update.state === "unused" ? 0 : computeServedCost(entry);
     this.#options.onClosed(entry, cost);
   }
 
   #recordFinished(entry: LeaseEntry, now: number): void {
     if (!entry.isOwnGrant) return;
-    const { lengths, speed } = this.#options;
+    const { lengths, serviceTimes } = this.#options;
     if (entry.modelKey !== "") {
       lengths.record(entry.className, {
         workspace: entry.workspace,
         tokens: entry.doneTokens + entry.tokens,
       });
     }
-    speed.record({
+    serviceTimes.record({
       className: entry.className,
       firstTokenMs: entry.firstTokenMs,
       betweenTokensMs: entry.betweenTokensMs,
--- a/src/process/scheduler/lease_sync.ts
+++ b/src/process/scheduler/lease_sync.ts
@@ -1,5 +1,6 @@
 /**
- * Tells a shard's owner of the leases that this VM holds, in batches.
+ * Reports the leases that this VM holds in one shard to the shard's owner, in
+ * batches.
  *
  * @module
  */
@@ -13,19 +14,20 @@
 import { LEASE_TTL_MS } from "./lease_manager.ts";
 import { buildShardKey } from "./shards.ts";
 
-/** How often news is looked for, in milliseconds. */
-export const SYNC_EVERY_MS = 500;
-/** How often a running lease is renewed, in milliseconds. */
-const RENEW_EVERY_MS = 1_500;
-/** How long returns to another VM wait for others, in milliseconds. */
-const RETURN_DELAY_MS = 10;
+/** Interval between checks for leases to report, in milliseconds. */
+export const SYNC_INTERVAL_MS = 500;
+/** Renewal interval of a running lease, in milliseconds. */
+const RENEWAL_INTERVAL_MS = 1_500;
+/** How long returns to another VM are collected into a batch. */
+const RETURN_BATCH_DELAY_MS = 10;
 const SYNC_DEADLINE_MS = 1_000;
-/** Returns kept while no owner answers; an owner's leases lapse by then. */
-const MAX_RETURNS = 10_000;
-/** Leases named in one call. */
-const MAX_NEWS = 500;
+/**
+ * Returns kept while no owner answers. Further ones are dropped: the owner
+ * frees their slots when the leases expire.
+ */
+const MAX_QUEUED_RETURNS = 10_000;
+const MAX_UPDATES_PER_CALL = 500;
 
-/** What the sync of a shard needs. */
 export interface LeaseSyncOptions {
   environment: Environment;
   membership: MembershipView;
@@ -33,18 +35,18 @@
   shard: ShardId;
 }
 
-/** One shard's leases on this VM. */
+/** Synchronizes one shard's leases on this VM with the shard's owner. */
 export class LeaseSync {
   readonly #options: LeaseSyncOptions;
   readonly #held = new Map<LeaseId, HeldSlot>();
   #returns: HeldSlot[] = [];
   #withdrawn: TicketId[] = [];
-  /** The owner that has been told of all leases. */
-  #knownOwner: VmId | undefined;
-  /** An owner waits for word of this VM, also that it holds nothing. */
-  #isAwaited = false;
+  /** The owner that all leases have been reported to. */
+  #informedOwner: VmId | undefined;
+  /** Whether a report is due even if this VM holds no lease. */
+  #mustAnnounce = false;
   #isSyncing = false;
-  #isWanted = false;
+  #isSyncRequested = false;
   #cancelFlush: CancelTimer | undefined;
   #usedAt: number;
 
@@ -57,14 +59,14 @@
     return new LeaseSync(options);
   }
 
-  /** When the shard was last used by this VM. */
+  /** Time of this VM's last use of the shard. */
   get usedAt(): number {
     return this.#usedAt;
   }
 
   get isIdle(): boolean {
     return this.#held.size === 0 && this.#returns.length === 0 &&
-      this.#withdrawn.length === 0 && !this.#isAwaited;
+      this.#withdrawn.length === 0 && !this.#mustAnnounce;
   }
 
   add(slot: HeldSlot): void {
@@ -72,10 +74,10 @@
     this.#held.set(slot.lease, slot);
   }
 
-  /** Gives a lease back, at once where this VM is the owner. */
+  /** Queues a lease to be returned, without delay if this VM is the owner. */
   addReturn(slot: HeldSlot): void {
     this.#held.delete(slot.lease);
-    if (this.#returns.length < MAX_RETURNS) this.#returns.push(slot);
+    if (this.#returns.length < MAX_QUEUED_RETURNS) this.#returns.push(slot);
     this.#flushSoon();
   }
 
@@ -84,24 +86,24 @@
     this.#flushSoon();
   }
 
-  /** Tells a new owner of all leases, or that there are none. */
+  /** Reports all leases, possibly none, to a new owner. */
   announce(): void {
-    this.#isAwaited = true;
+    this.#mustAnnounce = true;
     void this.run();
   }
 
-  /** One call to the owner, if there is anything to say. */
+  /** Calls the owner if there is anything to report. */
   async run(): Promise<void> {
     if (this.#isSyncing) {
-      this.#isWanted = true;
+      this.#isSyncRequested = true;
       return;
     }
     this.#isSyncing = true;
     try {
       do {
-        this.#isWanted = false;
+        this.#isSyncRequested = false;
         await this.#syncOnce();
-      } while (this.#isWanted);
+      } while (this.#isSyncRequested);
     } finally {
       this.#isSyncing = false;
     }
@@ -112,40 +114,41 @@
     if (owner === undefined) return;
     const { vm, incarnation, clock } = this.#options.environment;
     const sentAt = clock.now();
-    const isNew = owner !== this.#knownOwner;
-    const running = this.#listDue(sentAt, isNew);
-    const returns = this.#returns.slice(0, MAX_NEWS);
-    const withdrawn = this.#withdrawn.slice(0, MAX_NEWS);
-    const nothing = running.length + returns.length + withdrawn.length === 0;
-    if (nothing && !this.#isAwaited) return;
+    const isNew = owner !== this.#informedOwner;
+    const running = this.#listDueLeases(sentAt, isNew);
+    const returns = this.#returns.slice(0, MAX_UPDATES_PER_CALL);
+    const withdrawn = this.#withdrawn.slice(0, MAX_UPDATES_PER_CALL);
+    const isEmpty = running.length + returns.length + withdrawn.length === 0;
+    if (isEmpty && !this.#mustAnnounce) return;
     const answer = await this.#send(owner, {
       from: { vm, incarnation },
       shard: this.#options.shard,
-      // Built now: what a return says of times is counted from its sending.
-      news: [...running, ...returns].map((slot) => slot.buildNews()),
+      // Built for each call, because the ages in an update are relative to the
+      // time of sending.
+      news: [...running, ...returns].map((slot) => slot.buildUpdate()),
       withdrawn,
     });
     if (answer === undefined || !answer.isOwner) {
-      this.#knownOwner = undefined;
+      this.#informedOwner = undefined;
       return;
     }
-    this.#knownOwner = owner;
-    this.#isAwaited = false;
+    this.#informedOwner = owner;
+    this.#mustAnnounce = false;
     this.#returns.splice(0, returns.length);
     this.#withdrawn.splice(0, withdrawn.length);
     for (const slot of running) slot.renew(sentAt, LEASE_TTL_MS);
     for (const lease of answer.preempt) this.#held.get(lease)?.preempt();
-    if (this.#returns.length > 0) this.#isWanted = true;
+    if (this.#returns.length > 0) this.#isSyncRequested = true;
   }
 
   /**
-   * The leases to renew: all for an owner that has not been told of them, or
-   * it would take their slots for free ones.
+   * Lists the leases to renew. A new owner gets all of them, because it would
+   * otherwise consider their slots free.
    */
-  #listDue(now: number, isNew: boolean): HeldSlot[] {
+  #listDueLeases(now: number, isNew: boolean): HeldSlot[] {
     const held = [...this.#held.values()];
     if (isNew) return held;
-    return held.filter((slot) => slot.isDue(now, RENEW_EVERY_MS));
+    return held.filter((slot) => slot.isRenewalDue(now, RENEWAL_INTERVAL_MS));
   }
 
   async #send(owner: VmId, call: SyncCall): Promise<SyncAnswer | undefined> {
@@ -160,7 +163,7 @@
         environment.clock,
       );
     } catch {
-      // The owner is told again at the next round, or the next owner is.
+      // The next round repeats the report to the owner of that time.
       return undefined;
     }
   }
@@ -175,7 +178,7 @@
     if (this.#cancelFlush !== undefined) return;
     const isLocal = this.#findOwner() === this.#options.environment.vm;
     this.#cancelFlush = this.#options.environment.clock.startTimer(
-      isLocal ? 0 : RETURN_DELAY_MS,
+      isLocal ? 0 : RETURN_BATCH_DELAY_MS,
       () => {
         this.#cancelFlush = undefined;
         void this.run();
--- a/src/process/scheduler/lease_syncs.ts
+++ b/src/process/scheduler/lease_syncs.ts
@@ -1,5 +1,5 @@
 /**
- * The syncs of all shards whose slots this VM holds or wants.
+ * The lease syncs of all shards in which this VM holds or requests slots.
  *
  * @module
  */
@@ -8,26 +8,25 @@
 import type { Environment } from "../environment.ts";
 import type { MembershipView } from "../membership_view.ts";
 import type { PeerApi } from "../peer_api.ts";
-import { LeaseSync, SYNC_EVERY_MS } from "./lease_sync.ts";
+import { LeaseSync, SYNC_INTERVAL_MS } from "./lease_sync.ts";
 import { buildShardKey, listNonEmptyShards } from "./shards.ts";
 
-/** A shard without leases is forgotten after this. */
-const IDLE_SHARD_MS = 60_000;
+/** Time after which the sync of an unused shard is removed. */
+const IDLE_SHARD_TTL_MS = 60_000;
 
-/** What the syncs need. */
 export interface LeaseSyncsOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
-  /** This VM's own answers, for shards that it owns itself. */
+  /** The API of this VM itself, used for shards that it owns. */
   getLocal: () => PeerApi;
 }
 
-/** Keeps one sync a shard, and tells new owners of this VM's leases. */
+/** Keeps one sync per shard and reports this VM's leases to new owners. */
 export class LeaseSyncs {
   readonly #options: LeaseSyncsOptions;
   readonly #syncs = new Map<ShardId, LeaseSync>();
-  /** The owner of each shard, as this VM last saw it. */
+  /** Last known owner of each shard. */
   readonly #owners = new Map<ShardId, VmId>();
 
   constructor(options: LeaseSyncsOptions) {
@@ -38,7 +37,7 @@
     return new LeaseSyncs(options);
   }
 
-  /** The sync of `shard`, made when there is none yet. */
+  /** Returns the sync of `shard`, created on first use. */
   get(shard: ShardId): LeaseSync {
     let sync = this.#syncs.get(shard);
     if (sync === undefined) {
@@ -50,8 +49,9 @@
   }
 
   /**
-   * Tells the new owner of each shard of this VM's leases, also that it has
-   * none: the owner waits for every VM's word before it grants.
+   * Reports this VM's leases to the new owner of each shard. The report is sent
+   * even without leases, because a new owner does not grant before every VM has
+   * reported or the grace period has ended.
    */
   announceToNewOwners(): void {
     const { membership, getSnapshot } = this.#options;
@@ -59,27 +59,27 @@
       const vms = membership.listUpstreams(pool.name);
       for (const shard of listNonEmptyShards(pool, vms)) {
         const owner = membership.findOwner(buildShardKey(shard));
-        const before = this.#owners.get(shard);
-        if (owner === undefined || owner === before) continue;
+        const previous = this.#owners.get(shard);
+        if (owner === undefined || owner === previous) continue;
         this.#owners.set(shard, owner);
-        if (before !== undefined) this.get(shard).announce();
+        if (previous !== undefined) this.get(shard).announce();
       }
     }
   }
 
-  /** Runs every sync in turn until `signal` aborts. */
+  /** Runs all syncs periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock } = this.#options.environment;
     while (!signal.aborted) {
       if (this.#owners.size === 0) this.announceToNewOwners();
       for (const sync of this.#syncs.values()) void sync.run();
-      await clock.sleep(SYNC_EVERY_MS, signal);
+      await clock.sleep(SYNC_INTERVAL_MS, signal);
       this.#dropIdle();
     }
   }
 
   #dropIdle(): void {
-    const oldest = this.#options.environment.clock.now() - IDLE_SHARD_MS;
+    const oldest = this.#options.environment.clock.now() - IDLE_SHARD_TTL_MS;
     for (const [shard, sync] of this.#syncs) {
       if (sync.isIdle && sync.usedAt < oldest) this.#syncs.delete(shard);
     }
--- a/src/process/scheduler/load_poller.ts
+++ b/src/process/scheduler/load_poller.ts
@@ -1,5 +1,5 @@
 /**
- * Polls of upstreams for their load and their cache events.
+ * Polls upstreams for their load reports and cache events.
  *
  * @module
  */
@@ -9,19 +9,19 @@
 import { withTimeout } from "../with_timeout.ts";
 import type { ShardOwner } from "./shard_owner.ts";
 
-/** How long a poll may take, in milliseconds. */
-const POLL_DEADLINE_MS = 900;
+/** Timeout of a poll. */
+const POLL_TIMEOUT_MS = 900;
 
-/** What the polls need. */
+/** Options of a `LoadPoller`. */
 export interface LoadPollerOptions {
   environment: Environment;
-  /** Hears an upstream's own word, from each load report. */
+  /** Called with each load report's leaving state and its age. */
   onUpstreamLeaving?:
     | ((upstream: VmId, isLeaving: boolean, ageMs: number) => void)
     | undefined;
 }
 
-/** Asks a shard's upstreams and tells the shard's owner. */
+/** Polls a shard's upstreams and passes the results to the shard's owner. */
 export class LoadPoller {
   readonly #options: LoadPollerOptions;
 
@@ -33,7 +33,7 @@
     return new LoadPoller(options);
   }
 
-  /** Asks all of `upstreams` once; resolves when each has answered or not. */
+  /** Polls `upstreams` once; resolves when each has answered or timed out. */
   async fetchLoads(
     owner: ShardOwner,
     upstreams: readonly VmId[],
@@ -48,7 +48,7 @@
     try {
       const report = await withTimeout(
         upstreams.fetchLoad(upstream),
-        POLL_DEADLINE_MS,
+        POLL_TIMEOUT_MS,
         clock,
       );
       if (report === undefined) {
@@ -60,7 +60,7 @@
       this.#options.onUpstreamLeaving?.(upstream, leaving, ageMs);
       await this.#fetchCacheEvents(owner, { upstream, report });
     } catch {
-      // The count of missed polls is what tells of a silent upstream.
+      // Failed and timed-out polls alike count towards a silent upstream.
       owner.noteMissedPoll(upstream);
     }
   }
@@ -70,12 +70,12 @@
     polled: { upstream: VmId; report: LoadReport },
   ): Promise<void> {
     const { upstream, report } = polled;
-    const known = owner.getCacheSequence(upstream);
-    if (report.cacheSequence <= known) return;
+    const lastSequence = owner.getCacheSequence(upstream);
+    if (report.cacheSequence <= lastSequence) return;
     const { clock, upstreams } = this.#options.environment;
     const events = await withTimeout(
-      upstreams.fetchCacheEvents(upstream, known),
-      POLL_DEADLINE_MS,
+      upstreams.fetchCacheEvents(upstream, lastSequence),
+      POLL_TIMEOUT_MS,
       clock,
     ).catch(() => undefined);
     if (events !== undefined) owner.applyCacheEvents(upstream, events);
--- a/src/process/scheduler/local_share.ts
+++ b/src/process/scheduler/local_share.ts
@@ -1,11 +1,12 @@
 /**
- * The slots that this VM may use of a shard whose owner does not answer.
+ * The slots of a shard that this VM may use while the shard's owner is
+ * unreachable.
  *
- * Each listed entry VM takes its part of the pool's initial slots, so that all
- * of them together use no more slots than there are, with no word between
- * them. What is left of an uneven division goes to the first VMs in rendezvous
- * order. Weighed against one slot for each VM at least: with more VMs than
- * slots that would put a multiple of its load on each replica.
+ * The pool's initial slots are divided among all listed entry VMs, so that
+ * without any coordination the VMs never use more slots than exist. The
+ * remainder of the division goes to the first VMs in rendezvous order. A share
+ * can be empty: if every VM had at least one slot, then with more VMs than
+ * slots each replica would be overloaded several times over.
  *
  * @module
  */
@@ -14,44 +15,43 @@
 import type { UpstreamPool } from "../../version/records.ts";
 import { computeRendezvousOrder } from "../rendezvous.ts";
 
-/** What the share is worked out from. */
 export interface LocalShareInput {
   vm: VmId;
   shard: ShardId;
   pool: UpstreamPool;
-  /** The shard's upstreams that may get work. */
+  /** The shard's upstreams that accept work. */
   upstreams: readonly ListedVm[];
-  /** Every listed entry VM, whatever this VM believes of it. */
+  /** All listed entry VMs, whatever their member state. */
   entryVms: readonly ListedVm[];
 }
 
-/** This VM's part of the shard's slots. */
+/** Computes the number of slots of the shard that this VM may use. */
 export function computeLocalShare(input: LocalShareInput): number {
   const slots = input.upstreams.length * input.pool.slots.initial;
   const vms = input.entryVms.map((vm) => vm.id);
   if (vms.length === 0) return 0;
-  const each = Math.floor(slots / vms.length);
-  const left = slots - each * vms.length;
+  const slotsPerVm = Math.floor(slots / vms.length);
+  const remainder = slots - slotsPerVm * vms.length;
   const order = computeRendezvousOrder(`local:${input.shard}`, vms);
-  const place = order.indexOf(input.vm);
-  return place >= 0 && place < left ? each + 1 : each;
+  const position = order.indexOf(input.vm);
+  return position >= 0 && position < remainder ? slotsPerVm + 1 : slotsPerVm;
 }
 
-/** Local use of one shard's slots. */
+/** Tracks this VM's use of its local share of one shard. */
 export class LocalShare {
   readonly #inUse = new Map<VmId, number>();
   readonly #waitingRanks = new Map<number, number>();
-  #total = 0;
+  #totalInUse = 0;
 
   static create(): LocalShare {
     return new LocalShare();
   }
 
   get isIdle(): boolean {
-    return this.#total === 0 && this.#waitingRanks.size === 0;
+    return this.#totalInUse === 0 && this.#waitingRanks.size === 0;
   }
 
-  /** Notes a request that waits, so that no lower tier goes before it. */
+  /** Adds a waiting request; lower tiers get no slot while it waits. */
   addWaiting(rank: number): void {
     this.#waitingRanks.set(rank, (this.#waitingRanks.get(rank) ?? 0) + 1);
   }
@@ -63,27 +63,27 @@
   }
 
   /**
-   * Takes a slot on the upstream used least; undefined when the share is used
-   * up, a higher tier waits, or no upstream is left.
+   * Takes a slot on the least used upstream. Returns undefined if the share is
+   * used up, a higher tier waits, or `upstreams` is empty.
    */
   take(
     rank: number,
     options: { share: number; upstreams: readonly VmId[] },
   ): VmId | undefined {
-    if (this.#total >= options.share) return undefined;
+    if (this.#totalInUse >= options.share) return undefined;
     for (const waiting of this.#waitingRanks.keys()) {
       if (waiting < rank) return undefined;
     }
     const upstream = this.#findLeastUsed(options.upstreams);
     if (upstream === undefined) return undefined;
-    this.#total++;
+    this.#totalInUse++;
     this.#inUse.set(upstream, (this.#inUse.get(upstream) ?? 0) + 1);
     return upstream;
   }
 
   release(upstream: VmId): void {
     const left = (this.#inUse.get(upstream) ?? 0) - 1;
-    this.#total--;
+    this.#totalInUse--;
     if (left > 0) this.#inUse.set(upstream, left);
     else this.#inUse.delete(upstream);
   }
--- a/src/process/scheduler/local_slots.ts
+++ b/src/process/scheduler/local_slots.ts
@@ -1,5 +1,5 @@
 /**
- * Slots of this VM's own shares, shard by shard.
+ * This VM's local shares of all shards.
  *
  * @module
  */
@@ -15,13 +15,12 @@
 import { computeLocalShare, LocalShare } from "./local_share.ts";
 import { listShardUpstreams } from "./shards.ts";
 
-/** What the local slots are worked out from. */
 export interface LocalSlotsOptions {
   environment: Environment;
   membership: MembershipView;
 }
 
-/** A request for a local slot. */
+/** Requirements for a slot of the local share. */
 export interface LocalRequirements {
   shard: ShardId;
   pool: UpstreamPool;
@@ -29,23 +28,25 @@
   avoid: readonly VmId[];
 }
 
-/** Gives out this VM's share of shards whose owners do not answer. */
+/**
+ * Grants slots of this VM's local shares while shard owners are unreachable.
+ */
 export class LocalSlots {
   readonly #options: LocalSlotsOptions;
   readonly #shares = new Map<ShardId, LocalShare>();
-  readonly #room: LocalUpstreamLimits;
-  #leases = 0;
+  readonly #limits: LocalUpstreamLimits;
+  #leaseCount = 0;
 
   constructor(options: LocalSlotsOptions) {
     this.#options = options;
-    this.#room = LocalUpstreamLimits.create(options.environment.clock);
+    this.#limits = LocalUpstreamLimits.create(options.environment.clock);
   }
 
   static create(options: LocalSlotsOptions): LocalSlots {
     return new LocalSlots(options);
   }
 
-  /** Notes a request that waits in `shard`, whether its owner answers or not. */
+  /** Adds a request that waits in `shard`, even if its owner is reachable. */
   addWaiting(shard: ShardId, rank: number): void {
     this.#getShare(shard).addWaiting(rank);
   }
@@ -56,69 +57,76 @@
     if (share.isIdle) this.#shares.delete(shard);
   }
 
-  /** Whether this VM has any share of the shard. */
-  hasShare(wish: LocalRequirements): boolean {
-    return this.#computeShare(wish) > 0;
+  /** Whether this VM's share of the shard is at least one slot. */
+  hasShare(requirements: LocalRequirements): boolean {
+    return this.#computeShare(requirements) > 0;
   }
 
-  /** A slot of the share; undefined where none is free. */
-  take(wish: LocalRequirements): SlotLease | undefined {
+  /** Takes a slot of the local share; undefined if none is free. */
+  take(requirements: LocalRequirements): SlotLease | undefined {
     const rateShare = 1 / this.#options.membership.listEntryVms().length;
-    const upstreams = this.#listUpstreams(wish)
+    const upstreams = this.#listUpstreams(requirements)
       .map((upstream) => upstream.id)
-      .filter((upstream) => !wish.avoid.includes(upstream))
-      .filter((upstream) => this.#room.canSend(upstream, rateShare));
-    const upstream = this.#getShare(wish.shard).take(wish.rank, {
-      share: this.#computeShare(wish),
-      upstreams,
-    });
+      .filter((upstream) => !requirements.avoid.includes(upstream))
+      .filter((upstream) => this.#limits.canSend(upstream, rateShare));
+    const upstream = this.#getShare(requirements.shard).take(
+      requirements.rank,
+      {
+        share: this.#computeShare(requirements),
+        upstreams,
+      },
+    );
     if (upstream === undefined) return undefined;
-    this.#room.addSent(upstream);
+    this.#limits.addSent(upstream);
     const { vm, incarnation } = this.#options.environment;
-    const name = `${wish.shard}:${vm}:${incarnation}:local-${this.#leases++}`;
+    const name = `${requirements.shard}:${vm}:${incarnation}:local-${this
+      .#leaseCount++}`;
     return {
       lease: toId(name),
-      shard: wish.shard,
+      shard: requirements.shard,
       upstream,
       ttlMs: INITIAL_LEASE_TTL_MS,
-      priority: wish.rank,
+      priority: requirements.rank,
       byOwner: false,
     };
   }
 
-  /** Takes in what an answer of an upstream to this VM asks. */
+  /** Applies the rate limit and back-off of an upstream's response. */
   noteSignals(upstream: VmId, signals: UpstreamSignals): void {
-    this.#room.noteSignals(upstream, signals);
+    this.#limits.noteSignals(upstream, signals);
   }
 
-  /** Forgets upstreams that are not listed any more. */
+  /** Removes upstreams that are no longer listed. */
   dropUnlisted(): void {
     const { membership } = this.#options;
-    this.#room.dropUnlisted((upstream) =>
+    this.#limits.dropUnlisted((upstream) =>
       membership.findVm(upstream) !== undefined
     );
   }
 
-  /** Gives a local slot back. */
+  /** Releases a slot of the local share. */
   release(slot: { shard: ShardId; upstream: VmId }): void {
     const share = this.#getShare(slot.shard);
     share.release(slot.upstream);
     if (share.isIdle) this.#shares.delete(slot.shard);
   }
 
-  #computeShare(wish: LocalRequirements): number {
+  #computeShare(requirements: LocalRequirements): number {
     return computeLocalShare({
       vm: this.#options.environment.vm,
-      shard: wish.shard,
-      pool: wish.pool,
-      upstreams: this.#listUpstreams(wish),
+      shard: requirements.shard,
+      pool: requirements.pool,
+      upstreams: this.#listUpstreams(requirements),
       entryVms: this.#options.membership.listEntryVms(),
     });
   }
 
-  #listUpstreams(wish: LocalRequirements): ListedVm[] {
-    const vms = this.#options.membership.listUpstreams(wish.pool.name);
-    return listShardUpstreams(wish.shard, { pool: wish.pool, vms });
+  #listUpstreams(requirements: LocalRequirements): ListedVm[] {
+    const vms = this.#options.membership.listUpstreams(requirements.pool.name);
+    return listShardUpstreams(requirements.shard, {
+      pool: requirements.pool,
+      vms,
+    });
   }
 
   #getShare(shard: ShardId): LocalShare {
--- a/src/process/scheduler/local_upstream_limits.ts
+++ b/src/process/scheduler/local_upstream_limits.ts
@@ -1,6 +1,6 @@
 /**
- * What upstreams asked in answers to this VM, for use while owners do not
- * answer: rate limits, of which it has a part, and times to back off.
+ * Rate limits and back-offs from upstreams' responses to this VM, applied while
+ * shard owners are unreachable. Of each rate limit this VM uses only its share.
  *
  * @module
  */
@@ -9,16 +9,16 @@
 import type { Clock } from "../clock.ts";
 import { RequestRate } from "../limits/index.ts";
 
-interface Asked {
+interface UpstreamLimits {
   rate: RequestRate;
   backOffUntil: number;
 }
 
-/** Room by upstream. */
+/** Limits and back-offs by upstream. */
 export class LocalUpstreamLimits {
   readonly #clock: Clock;
-  /** Of upstreams that asked for anything. */
-  readonly #asked = new Map<VmId, Asked>();
+  /** Only upstreams with a limit or back-off in force. */
+  readonly #limits = new Map<VmId, UpstreamLimits>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -28,37 +28,40 @@
     return new LocalUpstreamLimits(clock);
   }
 
-  /** Takes in what an answer of `upstream` asks. */
+  /** Applies the rate limit and back-off of a response from `upstream`. */
   noteSignals(upstream: VmId, signals: UpstreamSignals): void {
     const { requestsPerS, backOffMs } = signals;
     const now = this.#clock.now();
-    const asked = this.#asked.get(upstream) ??
+    const limits = this.#limits.get(upstream) ??
       { rate: RequestRate.create(now), backOffUntil: now };
-    if (requestsPerS !== undefined) asked.rate.noteLimit(requestsPerS, now);
-    asked.backOffUntil = Math.max(asked.backOffUntil, now + backOffMs);
-    const isOpen = asked.rate.limit === undefined && asked.backOffUntil <= now;
-    if (isOpen) this.#asked.delete(upstream);
-    else this.#asked.set(upstream, asked);
+    if (requestsPerS !== undefined) limits.rate.noteLimit(requestsPerS, now);
+    limits.backOffUntil = Math.max(limits.backOffUntil, now + backOffMs);
+    const isOpen = limits.rate.limit === undefined &&
+      limits.backOffUntil <= now;
+    if (isOpen) this.#limits.delete(upstream);
+    else this.#limits.set(upstream, limits);
   }
 
-  /** Whether a VM with `share` of each limit may send a request there now. */
+  /**
+   * Whether this VM, with `share` of the rate limit, may send a request now.
+   */
   canSend(upstream: VmId, share: number): boolean {
-    const asked = this.#asked.get(upstream);
-    if (asked === undefined) return true;
+    const limits = this.#limits.get(upstream);
+    if (limits === undefined) return true;
     const now = this.#clock.now();
-    return asked.backOffUntil <= now &&
-      asked.rate.computeWaitMs(now, share) === 0;
+    return limits.backOffUntil <= now &&
+      limits.rate.computeWaitMs(now, share) === 0;
   }
 
-  /** Counts a request of this VM's own share. */
+  /** Counts a request sent on a slot of the local share. */
   addSent(upstream: VmId): void {
-    this.#asked.get(upstream)?.rate.take(1);
+    this.#limits.get(upstream)?.rate.take(1);
   }
 
-  /** Forgets upstreams that are not listed any more. */
+  /** Removes upstreams that are no longer listed. */
   dropUnlisted(isListed: (upstream: VmId) => boolean): void {
-    for (const upstream of this.#asked.keys()) {
-      if (!isListed(upstream)) this.#asked.delete(upstream);
+    for (const upstream of this.#limits.keys()) {
+      if (!isListed(upstream)) this.#limits.delete(upstream);
     }
   }
 }
--- a/src/process/scheduler/output_lengths.ts
+++ b/src/process/scheduler/output_lengths.ts
@@ -1,6 +1,6 @@
 /**
- * Output lengths, which nobody knows in advance: learnt per class and
- * workspace as histograms.
+ * Estimates output lengths, which are not known in advance, from histograms per
+ * class and workspace.
  *
  * @module
  */
@@ -8,44 +8,45 @@
 import type { ClassName, WorkspaceName } from "../../ids.ts";
 import type { RequestClass } from "../../version/records.ts";
 
-/** Samples below which a histogram says nothing yet. */
+/** Minimum number of samples for a histogram to be used. */
 export const MIN_SAMPLES = 20;
-/** Histograms kept per shard; the one unused for longest goes first. */
+/** Histograms kept per shard; the least recently updated one is evicted. */
 const MAX_HISTOGRAMS = 512;
+/** Largest length that is recorded; longer ones count as this. */
 const MAX_TOKENS = 1_000_000;
-const DIGITS = 2;
-/** Samples after which a histogram starts anew, so that it follows change. */
-const MAX_SAMPLES = 2_000;
-const MEDIAN = 50;
-const HIGHEST = 100;
+const SIGNIFICANT_DIGITS = 2;
+/** Samples after which a histogram is replaced, to follow changing traffic. */
+const MAX_SAMPLES_PER_HISTOGRAM = 2_000;
+const MEDIAN_PERCENTILE = 50;
+const MAX_PERCENTILE = 100;
 
-/** A guess at how many tokens a request will generate in all. */
-export interface LengthGuess {
+/** The estimated total number of tokens that a request will generate. */
+export interface LengthEstimate {
   tokens: number;
-  /** False while the guess is the class's cap and not learnt. */
+  /** False if the estimate is a cap because there are too few samples. */
   learnt: boolean;
 }
 
-interface Learnt {
+interface LengthHistory {
   histogram: Histogram;
-  /** Samples since the start; the previous histogram serves meanwhile. */
+  /** The replaced histogram, used until the new one has enough samples. */
   previous: Histogram | undefined;
   median: number;
 }
 
-/** What a guess is wanted for. */
-export interface LengthQuestion {
+/** The request to estimate the output length of. */
+export interface LengthQuery {
   requestClass: RequestClass;
   workspace: WorkspaceName;
-  /** The caller's own cap. */
+  /** Output cap set by the caller. */
   maxTokens: number;
-  /** Tokens that are there already. */
+  /** Tokens generated already; not 0 for a resumed stream. */
   doneTokens: number;
 }
 
-/** Learns output lengths. */
+/** Learns and estimates output lengths. */
 export class OutputLengths {
-  readonly #learnt = new Map<string, Learnt>();
+  readonly #histories = new Map<string, LengthHistory>();
   readonly #enabled: boolean;
 
   constructor(enabled: boolean) {
@@ -56,92 +57,100 @@
     return new OutputLengths(enabled);
   }
 
-  /** Takes in the whole length of an answer that came to its end. */
+  /** Records the total length of a finished answer. */
   record(
     className: ClassName,
     sample: { workspace: WorkspaceName; tokens: number },
   ): void {
     const tokens = Math.min(MAX_TOKENS, Math.max(1, Math.round(sample.tokens)));
-    this.#recordIn(className, tokens);
-    this.#recordIn(`${className}/${sample.workspace}`, tokens);
+    this.#recordAt(className, tokens);
+    this.#recordAt(`${className}/${sample.workspace}`, tokens);
   }
 
   /**
-   * The median of the workspace in the class, else of the class. At a cold
-   * start the class's `maxOutputTokens` is the guess.
+   * Returns the median of the workspace in the class, or of the class if there
+   * are too few samples. At a cold start the estimate is the output cap.
    */
-  computeGuess(question: LengthQuestion): LengthGuess {
-    const { requestClass, workspace, maxTokens, doneTokens } = question;
+  computeEstimate(query: LengthQuery): LengthEstimate {
+    const { requestClass, workspace, maxTokens, doneTokens } = query;
     const cap = Math.min(maxTokens, requestClass.maxOutputTokens);
-    const learnt = this.#find(requestClass.name, workspace);
-    if (learnt === undefined) return { tokens: cap, learnt: false };
+    const history = this.#find(requestClass.name, workspace);
+    if (history === undefined) return { tokens: cap, learnt: false };
     const total = doneTokens === 0
-      ? learnt.median
-      : computeMedianAbove(getWhole(learnt), doneTokens);
+      ? history.median
+      : computeMedianAbove(getUsableHistogram(history), doneTokens);
     return { tokens: Math.min(cap, Math.max(1, total)), learnt: true };
   }
 
   #find(
     className: ClassName,
     workspace: WorkspaceName,
-  ): Learnt | undefined {
+  ): LengthHistory | undefined {
     if (!this.#enabled) return undefined;
-    return this.#findEnough(`${className}/${workspace}`) ??
-      this.#findEnough(className);
+    return this.#findUsable(`${className}/${workspace}`) ??
+      this.#findUsable(className);
   }
 
-  #findEnough(key: string): Learnt | undefined {
-    const learnt = this.#learnt.get(key);
-    if (learnt === undefined) return undefined;
-    return getWhole(learnt).totalCount >= MIN_SAMPLES ? learnt : undefined;
+  #findUsable(key: string): LengthHistory | undefined {
+    const history = this.#histories.get(key);
+    if (history === undefined) return undefined;
+    return getUsableHistogram(history).totalCount >= MIN_SAMPLES
+      ? history
+      : undefined;
   }
 
-  #recordIn(key: string, tokens: number): void {
-    let learnt = this.#learnt.get(key);
-    if (learnt === undefined) {
-      learnt = { histogram: buildEmpty(), previous: undefined, median: 0 };
+  #recordAt(key: string, tokens: number): void {
+    let history = this.#histories.get(key);
+    if (history === undefined) {
+      history = {
+        histogram: buildEmptyHistogram(),
+        previous: undefined,
+        median: 0,
+      };
     }
-    // Put at the end again, so that the first key is the one unused longest.
-    this.#learnt.delete(key);
-    this.#learnt.set(key, learnt);
-    learnt.histogram.recordValue(tokens);
-    if (learnt.histogram.totalCount >= MAX_SAMPLES) {
-      learnt.previous = learnt.histogram;
-      learnt.histogram = buildEmpty();
+    // Reinsert at the end, so that the first key is the least recently updated.
+    this.#histories.delete(key);
+    this.#histories.set(key, history);
+    history.histogram.recordValue(tokens);
+    if (history.histogram.totalCount >= MAX_SAMPLES_PER_HISTOGRAM) {
+      history.previous = history.histogram;
+      history.histogram = buildEmptyHistogram();
     }
-    learnt.median = getWhole(learnt).getValueAtPercentile(MEDIAN);
-    if (this.#learnt.size > MAX_HISTOGRAMS) {
-      const oldest = this.#learnt.keys().next().value;
-      if (oldest !== undefined) this.#learnt.delete(oldest);
+    history.median = getUsableHistogram(history).getValueAtPercentile(
+      MEDIAN_PERCENTILE,
+    );
+    if (this.#histories.size > MAX_HISTOGRAMS) {
+      const oldest = this.#histories.keys().next().value;
+      if (oldest !== undefined) this.#histories.delete(oldest);
     }
   }
 }
 
-function buildEmpty(): Histogram {
+function buildEmptyHistogram(): Histogram {
   return build({
     bitBucketSize: 32,
     autoResize: true,
     lowestDiscernibleValue: 1,
     highestTrackableValue: MAX_TOKENS,
-    numberOfSignificantValueDigits: DIGITS,
+    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
   });
 }
 
-function getWhole(learnt: Learnt): Histogram {
-  const { histogram, previous } = learnt;
+function getUsableHistogram(history: LengthHistory): Histogram {
+  const { histogram, previous } = history;
   if (previous === undefined) return histogram;
   return histogram.totalCount >= MIN_SAMPLES ? histogram : previous;
 }
 
-/** The median of the lengths above `done`, found by bisection of percentiles. */
+/** Returns the median of the lengths above `done`, by bisecting percentiles. */
 function computeMedianAbove(histogram: Histogram, done: number): number {
   let low = 0;
-  let high = HIGHEST;
+  let high = MAX_PERCENTILE;
   while (high - low > 0.5) {
     const middle = (low + high) / 2;
     if (histogram.getValueAtPercentile(middle) <= done) low = middle;
     else high = middle;
   }
-  const median = histogram.getValueAtPercentile((low + HIGHEST) / 2);
+  const median = histogram.getValueAtPercentile((low + MAX_PERCENTILE) / 2);
   return Math.max(done + 1, median);
 }
--- a/src/process/scheduler/owner_client.ts
+++ b/src/process/scheduler/owner_client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls for a slot to whichever VM owns a shard now.
+ * Sends acquire calls to the current owner of a shard.
  *
  * @module
  */
@@ -11,44 +11,43 @@
 import type { LeaseRequest } from "../services.ts";
 import { buildShardKey } from "./shards.ts";
 
-/** How long the owner may hold a call, in milliseconds. */
+/** Maximum time that the owner holds a call, in milliseconds. */
 export const HOLD_MS = 1_000;
-/** Beyond the hold, how long an answer may take, in milliseconds. */
+/** Time for the answer to arrive after the hold time, in milliseconds. */
 export const ANSWER_MARGIN_MS = 500;
-/** Answers `not_owner` that are followed in one call. */
+/** Maximum number of `not_owner` redirects followed in one call. */
 const MAX_REDIRECTS = 1;
 
-/** What the calls need. */
 export interface OwnerClientOptions {
   environment: Environment;
   membership: MembershipView;
   getLocal: () => PeerApi;
 }
 
-/** One ticket's call. */
+/** An acquire call of one ticket. */
 export interface TicketCall {
   request: LeaseRequest;
   ticket: TicketId;
   shard: ShardId;
   signal: AbortSignal;
-  /** How long the owner may hold the call. */
+  /** Maximum time that the owner holds the call, in milliseconds. */
   holdMs: number;
 }
 
 interface OpenCall {
   shard: ShardId;
   owner: VmId;
-  giveUp: () => void;
+  cancel: () => void;
 }
 
 /**
- * Sends acquire calls and gives them up when the owner changes. A grant that
- * comes after its call was given up is dropped here: the ticket's next call
- * gets the same lease again, and a ticket that is withdrawn gives it back.
+ * Sends acquire calls and cancels them when the owner changes. A grant that
+ * arrives after the cancellation is ignored: the ticket's next call gets the
+ * same lease again, and withdrawing the ticket releases it.
  */
 export class OwnerClient {
   readonly #options: OwnerClientOptions;
-  readonly #open = new Set<OpenCall>();
+  readonly #openCalls = new Set<OpenCall>();
 
   constructor(options: OwnerClientOptions) {
     this.#options = options;
@@ -63,8 +62,8 @@
   }
 
   /**
-   * One call to the owner. Undefined when no owner is known, it did not answer
-   * in time, or another VM is the owner by now.
+   * Calls the owner. Resolves to undefined if no owner is known or the call
+   * timed out, failed or was cancelled.
    */
   async acquire(call: TicketCall): Promise<AcquireAnswer | undefined> {
     let owner = this.findOwner(call.shard);
@@ -79,10 +78,10 @@
     return undefined;
   }
 
-  /** Gives up calls whose owner has changed, so that nobody waits them out. */
+  /** Cancels open calls to VMs that no longer own the shard. */
   onMembershipChange(): void {
-    for (const open of [...this.#open]) {
-      if (this.findOwner(open.shard) !== open.owner) open.giveUp();
+    for (const open of [...this.#openCalls]) {
+      if (this.findOwner(open.shard) !== open.owner) open.cancel();
     }
   }
 
@@ -94,16 +93,16 @@
         if (!isOpen) return;
         isOpen = false;
         cancelTimer();
-        this.#open.delete(open);
-        call.signal.removeEventListener("abort", giveUp);
+        this.#openCalls.delete(open);
+        call.signal.removeEventListener("abort", cancel);
         resolve(answer);
       };
-      const giveUp = () => end(undefined);
+      const cancel = () => end(undefined);
       const limitMs = call.holdMs + ANSWER_MARGIN_MS;
-      const cancelTimer = clock.startTimer(limitMs, giveUp);
-      const open: OpenCall = { shard: call.shard, owner, giveUp };
-      this.#open.add(open);
-      call.signal.addEventListener("abort", giveUp, { once: true });
+      const cancelTimer = clock.startTimer(limitMs, cancel);
+      const open: OpenCall = { shard: call.shard, owner, cancel };
+      this.#openCalls.add(open);
+      call.signal.addEventListener("abort", cancel, { once: true });
       this.#getPeer(owner).acquire(this.#buildCall(call)).then(
         end,
         (thrown) => {
@@ -125,7 +124,7 @@
       : environment.peers.getPeer(owner);
   }
 
-  /** The call with the ages as they are now. */
+  /** Builds the call with current ages. */
   #buildCall(call: TicketCall): AcquireCall {
     const { vm, incarnation, clock } = this.#options.environment;
     const now = clock.now();
--- a/src/process/scheduler/pending_refusals.ts
+++ b/src/process/scheduler/pending_refusals.ts
@@ -1,5 +1,5 @@
 /**
- * Last answers to tickets that are between two calls.
+ * Final answers to tickets that have no call held at present.
  *
  * @module
  */
@@ -7,18 +7,17 @@
 import type { Clock } from "../clock.ts";
 import type { AcquireAnswer } from "../peer_api.ts";
 
-/** How long an answer is kept for its ticket's next call. */
-const VERDICT_LIFE_MS = 10_000;
+const REFUSAL_TTL_MS = 10_000;
 
-interface Verdict {
+interface PendingRefusal {
   answer: AcquireAnswer;
-  until: number;
+  expiresAt: number;
 }
 
-/** Keeps each answer until its ticket calls again. */
+/** Keeps each final answer until the ticket's next call. */
 export class PendingRefusals {
   readonly #clock: Clock;
-  readonly #verdicts = new Map<TicketId, Verdict>();
+  readonly #refusals = new Map<TicketId, PendingRefusal>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -28,24 +27,24 @@
     return new PendingRefusals(clock);
   }
 
-  /** Keeps the answer to a ticket whose next call has not come yet. */
+  /** Stores the answer for the ticket's next call. */
   put(ticket: TicketId, answer: AcquireAnswer): void {
-    const until = this.#clock.now() + VERDICT_LIFE_MS;
-    this.#verdicts.set(ticket, { answer, until });
+    const expiresAt = this.#clock.now() + REFUSAL_TTL_MS;
+    this.#refusals.set(ticket, { answer, expiresAt });
   }
 
-  /** The answer that waits for the ticket, which is then forgotten. */
+  /** Removes and returns the answer for the ticket. */
   take(ticket: TicketId): AcquireAnswer | undefined {
-    const verdict = this.#verdicts.get(ticket);
-    this.#verdicts.delete(ticket);
-    return verdict?.answer;
+    const refusal = this.#refusals.get(ticket);
+    this.#refusals.delete(ticket);
+    return refusal?.answer;
   }
 
-  /** Forgets the answers that nobody came for. */
+  /** Removes expired answers. */
   dropOld(): void {
     const now = this.#clock.now();
-    for (const [ticket, verdict] of this.#verdicts) {
-      if (verdict.until <= now) this.#verdicts.delete(ticket);
+    for (const [ticket, refusal] of this.#refusals) {
+      if (refusal.expiresAt <= now) this.#refusals.delete(ticket);
     }
   }
 }
--- a/src/process/scheduler/replica.ts
+++ b/src/process/scheduler/replica.ts
@@ -1,5 +1,5 @@
 /**
- * What a shard's owner knows of one upstream.
+ * The state of one upstream as its shard's owner tracks it.
  *
  * @module
  */
@@ -11,19 +11,21 @@
 import { LatencyTrack } from "./latency_track.ts";
 import { SlotLimit } from "./slot_limit.ts";
 
-/** A load report older than this is ignored, in milliseconds. */
+/** The figures of a load report older than this are ignored. */
 export const MAX_REPORT_AGE_MS = 5_000;
 
-/** Use of slots at one moment; it held until the next mark. */
-interface UseMark {
+/** Slots in use from `at` until the next sample. */
+interface InUseSample {
   at: number;
   inUse: number;
 }
 
-/** Which parts of the load control are on. */
+/** Options of a `Replica`. */
 export interface ReplicaOptions {
   slots: UpstreamPool["slots"];
+  /** Whether the slot limit adapts to latency and cache use. */
   adaptive: boolean;
+  /** Whether load reports affect the free slots and the limit. */
   useReports: boolean;
   now: number;
 }
@@ -34,25 +36,26 @@
   readonly limit: SlotLimit;
   readonly cache = CacheIndex.create();
   readonly latency = LatencyTrack.create();
-  /** Requests a second that it takes, by its word to any VM. */
+  /** Request rate that the upstream accepts, as announced to any VM. */
   readonly rate: RequestRate;
   readonly #useReports: boolean;
-  /** Out of service for new work but for probes. */
+  /** Whether it gets no new work except probes. */
   ejected = false;
-  /** The upstream's own word that it takes no more work. */
+  /** Whether the upstream has announced that it accepts no more work. */
   leaving = false;
-  /** When an ejected replica may be tried next. */
+  /** When an ejected replica may be probed next. */
   probeAt = 0;
-  /** Ejections one after the other, which lengthen the time to the probe. */
+  /** Ejections and failed probes so far; each doubles the probe delay. */
   ejections = 0;
+  /** Whether a probe is running. */
   probing = false;
-  /** Load polls without an answer, one after the other. */
+  /** Consecutive load polls without an answer. */
   missedPolls = 0;
   #report: LoadReport | undefined;
   #reportTakenAt = -Infinity;
   #backOffUntil = -Infinity;
-  #foreign = 0;
-  #marks: UseMark[];
+  #untracked = 0;
+  #inUseHistory: InUseSample[];
 
   constructor(id: VmId, options: ReplicaOptions) {
     this.id = id;
@@ -61,50 +64,50 @@
     });
     this.rate = RequestRate.create(options.now);
     this.#useReports = options.useReports;
-    this.#marks = [{ at: options.now, inUse: 0 }];
+    this.#inUseHistory = [{ at: options.now, inUse: 0 }];
   }
 
   static create(id: VmId, options: ReplicaOptions): Replica {
     return new Replica(id, options);
   }
 
-  /** Work there that the ledger does not know of, by the last report. */
-  get foreign(): number {
-    return this.#foreign;
+  /** Requests on the upstream that the ledger lacks, by the last report. */
+  get untracked(): number {
+    return this.#untracked;
   }
 
-  /** Slots in use by the ledger. */
+  /** Slots in use according to the ledger. */
   get inUse(): number {
-    return this.#marks.at(-1)!.inUse;
+    return this.#inUseHistory.at(-1)!.inUse;
   }
 
   /** Free slots; never below 0. */
   get freeSlots(): number {
-    return Math.max(0, this.limit.slots - this.inUse - this.#foreign);
+    return Math.max(0, this.limit.slots - this.inUse - this.#untracked);
   }
 
-  /** Takes in until when it wants nothing; the longest time holds. */
+  /** Records a back-off of the upstream; the latest end applies. */
   noteBackOff(until: number): void {
     this.#backOffUntil = Math.max(this.#backOffUntil, until);
   }
 
-  /** Whether it takes one more request now, by what it asked in answers. */
-  canTake(now: number): boolean {
+  /** Whether its back-off and its rate limit allow one more request now. */
+  isAccepting(now: number): boolean {
     return now >= this.#backOffUntil && this.rate.computeWaitMs(now) === 0;
   }
 
   setInUse(inUse: number, now: number): void {
     if (inUse === this.inUse) return;
-    this.#marks.push({ at: now, inUse });
-    if (inUse + this.#foreign >= this.limit.slots) this.limit.noteFull();
-    this.#dropOldMarks(now);
+    this.#inUseHistory.push({ at: now, inUse });
+    if (inUse + this.#untracked >= this.limit.slots) this.limit.noteFull();
+    this.#dropOldSamples(now);
   }
 
   /**
-   * Takes a report in whose figures are `ageMs` old. The ledger stays the
-   * truth: a report only adds work that the ledger did not know of at any time
-   * since. Comparing it with the ledger of now would count work that ended in
-   * between as running, and slots would stay empty.
+   * Records a load report whose figures are `ageMs` old. The ledger stays
+   * authoritative: a report only adds requests above the ledger's peak since
+   * the report was made. A comparison with the current ledger would count
+   * requests that ended in between as running, and leave slots empty.
    */
   noteReport(
     report: LoadReport,
@@ -113,31 +116,31 @@
     this.missedPolls = 0;
     const takenAt = options.now - options.ageMs;
     if (takenAt < this.#reportTakenAt) return;
-    // Leaving is for good: the age of the word does not matter.
+    // Leaving is final, so the age of the report does not matter.
     this.leaving = report.leaving;
-    this.cache.noteLatest(report.cacheSequence);
+    this.cache.noteEngineSequence(report.cacheSequence);
     if (options.ageMs > MAX_REPORT_AGE_MS) return;
     this.#report = report;
     this.#reportTakenAt = takenAt;
     if (!this.#useReports) return;
     this.limit.noteReport(report);
-    const known = this.#findMostInUse(takenAt);
-    this.#foreign = Math.max(0, report.running + report.waiting - known);
+    const inLedger = this.#findPeakInUse(takenAt);
+    this.#untracked = Math.max(0, report.running + report.waiting - inLedger);
   }
 
-  /** Drops what an old report said, and adapts the limit. */
+  /** Drops an outdated report and adapts the slot limit. */
   update(now: number): void {
     if (now - this.#reportTakenAt > MAX_REPORT_AGE_MS) {
-      this.#foreign = 0;
+      this.#untracked = 0;
       this.limit.dropReport();
     }
     this.limit.update(now);
-    this.#dropOldMarks(now);
+    this.#dropOldSamples(now);
   }
 
   /**
-   * Whether the replica holds the model, by its last word however old. Before
-   * any word every replica of the pool is taken to hold it.
+   * Whether the replica holds the model, by its last report of any age. Before
+   * the first report a replica is assumed to hold every model of its pool.
    */
   hasModel(model: string | undefined, adapter: string | undefined): boolean {
     if (model === undefined || this.#report === undefined) return true;
@@ -147,22 +150,23 @@
     );
   }
 
-  #findMostInUse(since: number): number {
-    let most = 0;
-    for (let index = this.#marks.length - 1; index >= 0; index--) {
-      const mark = this.#marks[index]!;
-      most = Math.max(most, mark.inUse);
-      if (mark.at <= since) break;
+  #findPeakInUse(since: number): number {
+    let peak = 0;
+    for (let index = this.#inUseHistory.length - 1; index >= 0; index--) {
+      const sample = this.#inUseHistory[index]!;
+      peak = Math.max(peak, sample.inUse);
+      if (sample.at <= since) break;
     }
-    return most;
+    return peak;
   }
 
-  #dropOldMarks(now: number): void {
+  #dropOldSamples(now: number): void {
     const oldest = now - MAX_REPORT_AGE_MS;
-    let drop = 0;
+    let dropCount = 0;
     while (
-      drop + 1 < this.#marks.length && this.#marks[drop + 1]!.at <= oldest
-    ) drop++;
-    if (drop > 0) this.#marks.splice(0, drop);
+      dropCount + 1 < this.#inUseHistory.length &&
+      this.#inUseHistory[dropCount + 1]!.at <= oldest
+    ) dropCount++;
+    if (dropCount > 0) this.#inUseHistory.splice(0, dropCount);
   }
 }
--- a/src/process/scheduler/replica_choice.ts
+++ b/src/process/scheduler/replica_choice.ts
@@ -1,5 +1,5 @@
 /**
- * Which replica a request goes to.
+ * Chooses the replica for a request.
  *
  * @module
  */
@@ -8,19 +8,20 @@
 import type { Replica } from "./replica.ts";
 
 /**
- * A replica may be chosen for its cache only while its use of slots is below
- * this many times the mean: a popular prefix would otherwise pile all of its
- * requests on one replica while others stand idle.
+ * A replica is chosen for its prefix cache only while its load is below this
+ * multiple of the mean. Otherwise all requests with a popular prefix would go
+ * to one replica while others are idle.
  */
-const LOAD_BOUND = 1.25;
-/** The least overlap, as a share of the prompt, that is worth an imbalance. */
+const MAX_LOAD_RATIO = 1.25;
+/** Minimum cached share of the prompt that justifies uneven load. */
 const MIN_OVERLAP = 0.2;
 
-/** What a request needs of a replica. */
+/** The requirements of a request on its replica. */
 export interface ReplicaRequirements {
   model: string | undefined;
   adapter: string | undefined;
   prefixes: readonly string[];
+  /** Replicas that must not be chosen. */
   avoid: readonly VmId[];
   /** Whether the request may serve as a probe of an ejected replica. */
   mayProbe: boolean;
@@ -28,71 +29,75 @@
 }
 
 /**
- * The replica with room, and that takes a request now by what it asked, that
- * suits best; undefined where there is none.
+ * Returns the best replica that has a free slot and accepts requests now, or
+ * undefined if there is none.
  */
 export function chooseReplica(
   replicas: readonly Replica[],
   options: { requirements: ReplicaRequirements; now: number },
 ): Replica | undefined {
-  const { requirements: wish, now } = options;
-  const fitting = replicas.filter((replica) => canServe(replica, wish));
-  const taking = fitting.filter((replica) => replica.canTake(now));
-  // Work that may not be repeated is no probe while anything in service could
-  // take it; without that rule's exception it would wait for good for a
-  // replica that only a probe can bring back.
-  const isLastResort = fitting.every((replica) => replica.ejected);
-  if (wish.mayProbe || isLastResort) {
-    const probed = taking.find((replica) => canProbe(replica, now));
-    if (probed !== undefined) return probed;
+  const { requirements, now } = options;
+  const capable = replicas.filter((replica) => canServe(replica, requirements));
+  const accepting = capable.filter((replica) => replica.isAccepting(now));
+  // A request that must not be repeated is used as a probe only if every
+  // capable replica is ejected: only a probe can return one to service, so the
+  // request would otherwise wait forever.
+  const isLastResort = capable.every((replica) => replica.ejected);
+  if (requirements.mayProbe || isLastResort) {
+    const toProbe = accepting.find((replica) => canProbe(replica, now));
+    if (toProbe !== undefined) return toProbe;
   }
-  const free = taking.filter((replica) =>
+  const free = accepting.filter((replica) =>
     !replica.ejected && replica.freeSlots > 0
   );
   if (free.length <= 1) return free[0];
-  return findCached(free, wish) ?? findLeastUsed(free);
+  return findByPrefix(free, requirements) ?? findLeastLoaded(free);
 }
 
-/** Whether any replica could ever serve the request, with room or not. */
+/** Whether any replica can serve the request, regardless of free slots. */
 export function hasCapableReplica(
   replicas: readonly Replica[],
-  wish: ReplicaRequirements,
+  requirements: ReplicaRequirements,
 ): boolean {
-  return replicas.some((replica) => canServe(replica, wish));
+  return replicas.some((replica) => canServe(replica, requirements));
 }
 
-/** Whether a replica in service, or due for a probe, could serve it now. */
+/** Whether a replica in service or due for a probe can serve the request. */
 export function hasAvailableReplica(
   replicas: readonly Replica[],
   options: { requirements: ReplicaRequirements; now: number },
 ): boolean {
-  const { requirements: wish, now } = options;
+  const { requirements, now } = options;
   return replicas.some((replica) =>
-    canServe(replica, wish) && (!replica.ejected || canProbe(replica, now))
+    canServe(replica, requirements) &&
+    (!replica.ejected || canProbe(replica, now))
   );
 }
 
-/** Whether `replica` could serve the request, with room or not. */
-export function canServe(replica: Replica, wish: ReplicaRequirements): boolean {
+/** Whether `replica` can serve the request, regardless of free slots. */
+export function canServe(
+  replica: Replica,
+  requirements: ReplicaRequirements,
+): boolean {
   return !replica.leaving &&
-    !wish.avoid.includes(replica.id) &&
-    replica.hasModel(wish.model, wish.adapter);
+    !requirements.avoid.includes(replica.id) &&
+    replica.hasModel(requirements.model, requirements.adapter);
 }
 
-function findCached(
+function findByPrefix(
   free: readonly Replica[],
-  wish: ReplicaRequirements,
+  needs: ReplicaRequirements,
 ): Replica | undefined {
-  if (!wish.prefixAffinity || wish.prefixes.length === 0) return undefined;
-  const bound = LOAD_BOUND * computeMeanUse(free);
+  if (!needs.prefixAffinity || needs.prefixes.length === 0) return undefined;
+  const bound = MAX_LOAD_RATIO * computeMeanLoad(free);
   let best: Replica | undefined;
   let bestOverlap = MIN_OVERLAP;
   for (const replica of free) {
     if (replica.inUse + 1 > Math.max(1, bound * replica.limit.slots)) continue;
-    const overlap = replica.cache.computeOverlap(wish.prefixes);
+    const overlap = replica.cache.computeOverlap(needs.prefixes);
     const better = overlap > bestOverlap ||
       (overlap === bestOverlap && best !== undefined &&
-        computeUse(replica) < computeUse(best));
+        computeLoad(replica) < computeLoad(best));
     if (!better) continue;
     best = replica;
     bestOverlap = overlap;
@@ -100,22 +105,22 @@
   return best;
 }
 
-function findLeastUsed(free: readonly Replica[]): Replica | undefined {
+function findLeastLoaded(free: readonly Replica[]): Replica | undefined {
   let best: Replica | undefined;
   for (const replica of free) {
-    if (best === undefined || computeUse(replica) < computeUse(best)) {
+    if (best === undefined || computeLoad(replica) < computeLoad(best)) {
       best = replica;
     }
   }
   return best;
 }
 
-function computeUse(replica: Replica): number {
-  return (replica.inUse + replica.foreign) / Math.max(1, replica.limit.slots);
+function computeLoad(replica: Replica): number {
+  return (replica.inUse + replica.untracked) / Math.max(1, replica.limit.slots);
 }
 
-/** The mean use once the request has been added. */
-function computeMeanUse(replicas: readonly Replica[]): number {
+/** Returns the mean load including the request itself. */
+function computeMeanLoad(replicas: readonly Replica[]): number {
   let used = 1;
   let slots = 0;
   for (const replica of replicas) {
--- a/src/process/scheduler/replica_set.ts
+++ b/src/process/scheduler/replica_set.ts
@@ -1,5 +1,5 @@
 /**
- * The upstreams of one shard.
+ * The replicas of one shard.
  *
  * @module
  */
@@ -10,18 +10,18 @@
 import { canProbe, type EjectionChange, updateEjections } from "./ejection.ts";
 import { Replica } from "./replica.ts";
 
-/** The replicas that may get work, by the list and their own word. */
+/** The replicas on the membership list; `leaving` ones get no new work. */
 export class ReplicaSet {
-  readonly #decisions: SchedulerFeatures;
+  readonly #features: SchedulerFeatures;
   readonly #replicas = new Map<VmId, Replica>();
   #list: Replica[] = [];
 
-  constructor(decisions: SchedulerFeatures) {
-    this.#decisions = decisions;
+  constructor(features: SchedulerFeatures) {
+    this.#features = features;
   }
 
-  static create(decisions: SchedulerFeatures): ReplicaSet {
-    return new ReplicaSet(decisions);
+  static create(features: SchedulerFeatures): ReplicaSet {
+    return new ReplicaSet(features);
   }
 
   get(upstream: VmId): Replica | undefined {
@@ -32,7 +32,7 @@
     return this.#list;
   }
 
-  /** Slots of the replicas in service. */
+  /** Number of slots of the replicas in service. */
   get slots(): number {
     let slots = 0;
     for (const replica of this.#list) {
@@ -41,24 +41,24 @@
     return slots;
   }
 
-  /** Free slots of the replicas in service. */
+  /** Number of free slots of the replicas in service. */
   get freeSlots(): number {
-    let room = 0;
+    let freeSlots = 0;
     for (const replica of this.#list) {
-      if (isInService(replica)) room += replica.freeSlots;
+      if (isInService(replica)) freeSlots += replica.freeSlots;
     }
-    return room;
+    return freeSlots;
   }
 
-  /** Whether any request at all could be granted now. */
-  hasOpening(now: number): boolean {
+  /** Whether any replica could take a request now. */
+  hasCapacity(now: number): boolean {
     return this.#list.some((replica) =>
-      !replica.leaving && replica.canTake(now) &&
+      !replica.leaving && replica.isAccepting(now) &&
       (replica.ejected ? canProbe(replica, now) : replica.freeSlots > 0)
     );
   }
 
-  /** Takes over the list: a replica that is no longer in it gets no work. */
+  /** Applies the list: replicas that are no longer on it are removed. */
   updateList(
     upstreams: readonly ListedVm[],
     options: {
@@ -80,8 +80,8 @@
       }
       const replica = Replica.create(id, {
         slots,
-        adaptive: this.#decisions.adaptiveRoom,
-        useReports: this.#decisions.loadReports,
+        adaptive: this.#features.adaptiveRoom,
+        useReports: this.#features.loadReports,
         now,
       });
       replica.setInUse(options.countInUse(id), now);
@@ -90,10 +90,10 @@
     this.#list = [...this.#replicas.values()];
   }
 
-  /** Adapts limits, drops old reports, ejects and returns replicas. */
+  /** Adapts limits, drops old reports, ejects replicas and returns them. */
   update(now: number): EjectionChange[] {
     for (const replica of this.#list) replica.update(now);
-    if (!this.#decisions.ejection) return [];
+    if (!this.#features.ejection) return [];
     return updateEjections(this.#list, now);
   }
 }
--- a/src/process/scheduler/scheduler_features.ts
+++ b/src/process/scheduler/scheduler_features.ts
@@ -1,43 +1,45 @@
 /**
- * Switches for each decision, so that a bench can measure what it is worth.
+ * Feature switches of the scheduler, so that a benchmark can measure the effect
+ * of each.
  *
  * @module
  */
 
-/** Which decisions are on; all of them in production. */
+/** The enabled features; production enables all of them. */
 export interface SchedulerFeatures {
-  /** Strict order of tiers at granting and shedding. */
+  /** Strict tier priority when granting and shedding. */
   tiers: boolean;
-  /** Earliest feasible start first within a tier; else first come. */
+  /** Earliest feasible start first within a tier; otherwise first come. */
   deadlineOrder: boolean;
   /** Weighted fair sharing between the workspaces of a class. */
   fairShare: boolean;
-  /** Minimum share and bounded wait of each class. */
+  /** Starvation protection: minimum share and bounded wait of each class. */
   progress: boolean;
-  /** Class queue limits, tier caps, the reserve that long work cannot take. */
+  /** Class queue limits, tier slot caps and the reserve for short requests. */
   crowding: boolean;
-  /** Shedding when the whole queue is over its bound. */
+  /** Shedding when the whole queue exceeds its bound. */
   shedding: boolean;
-  /** Passing a request to another shard before shedding. */
+  /** Forwarding a request to another shard before it is shed. */
   passOn: boolean;
+  /** Preempting lower tiers for a request that would miss its target. */
   preemption: boolean;
-  /** Early refusal of work that cannot finish in time. */
+  /** Early refusal of requests that cannot finish in time. */
   admission: boolean;
-  /** Learnt output lengths; else the class's cap is the guess. */
+  /** Learnt output lengths; otherwise the class's cap is the estimate. */
   learntLengths: boolean;
-  /** Slots per replica that adapt; else the pool's initial number. */
+  /** Adaptive slot limit per replica; otherwise the pool's initial number. */
   adaptiveRoom: boolean;
-  /** Correcting the ledger by load reports. */
+  /** Correction of the ledger by load reports. */
   loadReports: boolean;
-  /** Choosing replicas that hold the prompt's prefix. */
+  /** Preference for replicas that have the prompt's prefix in their cache. */
   prefixAffinity: boolean;
-  /** Ejecting stragglers and failing replicas. */
+  /** Ejection of stragglers and failing replicas. */
   ejection: boolean;
-  /** Passing the tier on to the engine as its priority. */
+  /** Sending the tier to the engine as the request's priority. */
   enginePriority: boolean;
 }
 
-/** Every decision on. */
+/** All features enabled. */
 export const ALL_FEATURES: Readonly<SchedulerFeatures> = Object.freeze({
   tiers: true,
   deadlineOrder: true,
@@ -56,7 +58,7 @@
   enginePriority: true,
 });
 
-/** All decisions, but for those that `changes` names. */
+/** Returns all features enabled, overridden by `changes`. */
 export function buildFeatures(
   changes: Partial<SchedulerFeatures> = {},
 ): SchedulerFeatures {
--- a/src/process/scheduler/service_times.ts
+++ b/src/process/scheduler/service_times.ts
@@ -1,35 +1,35 @@
 /**
- * How fast the shard serves each class, learnt from finished leases.
+ * Estimates service times per class from finished leases.
  *
  * @module
  */
 import type { ClassName } from "../../ids.ts";
 import type { RequestClass } from "../../version/records.ts";
 
-/** Weight of a new sample. */
+/** Weight of a new sample in the moving averages. */
 const SAMPLE_WEIGHT = 0.1;
-/** Samples below which a speed says nothing yet. */
+/** Minimum number of samples for a class's times to be used. */
 const MIN_SAMPLES = 5;
 /**
- * A figure without a new sample for this long, in milliseconds, is no longer
- * a ground for refusing: after a slow spell everything would be refused, no
- * sample would come, and the refusals would never end.
+ * Maximum age of the latest sample for an estimate to justify a refusal.
+ * Without it, a shard that was slow for a while could refuse every request
+ * forever, because refused requests yield no new samples.
  */
 export const MAX_SAMPLE_AGE_MS = 15_000;
-/** Part of the targets that is the guess before anything is known. */
-const COLD_SHARE = 0.5;
+/** Part of a class's targets that is the estimate before it has samples. */
+const COLD_START_SHARE = 0.5;
 
-/** What the shard has learnt of a class; milliseconds. */
-interface Speed {
+/** Moving averages of one class, in milliseconds. */
+interface ClassTimes {
   samples: number;
   sampledAt: number;
   firstTokenMs: number;
   betweenTokensMs: number;
-  /** Whole time in a slot, for work without tokens. */
-  heldMs: number;
+  /** Total time in a slot, for requests without tokens. */
+  slotMs: number;
 }
 
-/** One finished lease. */
+/** Measured times of a finished lease, in milliseconds. */
 export interface ServiceTimeSample {
   className: ClassName;
   firstTokenMs: number | undefined;
@@ -38,71 +38,72 @@
   now: number;
 }
 
-/** A guess at the time that a request will take, in milliseconds. */
-export interface ServiceGuess {
+/** The estimated service time of a request, in milliseconds. */
+export interface ServiceTimeEstimate {
   firstTokenMs: number;
   totalMs: number;
+  /** Whether it is based on recent samples. */
   learnt: boolean;
 }
 
-/** Learns times per class. */
+/** Learns and estimates service times per class. */
 export class ServiceTimes {
-  readonly #speeds = new Map<ClassName, Speed>();
+  readonly #timesByClass = new Map<ClassName, ClassTimes>();
 
   static create(): ServiceTimes {
     return new ServiceTimes();
   }
 
   record(sample: ServiceTimeSample): void {
-    const speed = this.#speeds.get(sample.className) ?? {
+    const times = this.#timesByClass.get(sample.className) ?? {
       samples: 0,
       sampledAt: 0,
       firstTokenMs: sample.firstTokenMs ?? 0,
       betweenTokensMs: sample.betweenTokensMs ?? 0,
-      heldMs: sample.slotMs,
+      slotMs: sample.slotMs,
     };
-    this.#speeds.set(sample.className, speed);
-    speed.samples++;
-    speed.sampledAt = sample.now;
-    speed.heldMs = mergeSample(speed.heldMs, sample.slotMs);
-    speed.firstTokenMs = mergeSample(speed.firstTokenMs, sample.firstTokenMs);
-    speed.betweenTokensMs = mergeSample(
-      speed.betweenTokensMs,
+    this.#timesByClass.set(sample.className, times);
+    times.samples++;
+    times.sampledAt = sample.now;
+    times.slotMs = updateMean(times.slotMs, sample.slotMs);
+    times.firstTokenMs = updateMean(times.firstTokenMs, sample.firstTokenMs);
+    times.betweenTokensMs = updateMean(
+      times.betweenTokensMs,
       sample.betweenTokensMs,
     );
   }
 
-  /** The expected time in a slot of a request with `tokens` still to come. */
-  computeGuess(
+  /** Estimates the slot time of a request with `tokens` left to generate. */
+  computeEstimate(
     requestClass: RequestClass,
     options: { tokens: number; hasTokens: boolean; now: number },
-  ): ServiceGuess {
-    const speed = this.#speeds.get(requestClass.name);
-    if (speed === undefined || speed.samples < MIN_SAMPLES) {
-      return computeColdGuess(requestClass, options);
+  ): ServiceTimeEstimate {
+    const times = this.#timesByClass.get(requestClass.name);
+    if (times === undefined || times.samples < MIN_SAMPLES) {
+      return computeColdStartEstimate(requestClass, options);
     }
     const totalMs = options.hasTokens
-      ? speed.firstTokenMs + options.tokens * speed.betweenTokensMs
-      : speed.heldMs;
-    const learnt = options.now - speed.sampledAt <= MAX_SAMPLE_AGE_MS;
-    return { firstTokenMs: speed.firstTokenMs, totalMs, learnt };
+      ? times.firstTokenMs + options.tokens * times.betweenTokensMs
+      : times.slotMs;
+    const learnt = options.now - times.sampledAt <= MAX_SAMPLE_AGE_MS;
+    return { firstTokenMs: times.firstTokenMs, totalMs, learnt };
   }
 }
 
-function mergeSample(mean: number, sample: number | undefined): number {
+function updateMean(mean: number, sample: number | undefined): number {
   return sample === undefined ? mean : mean + SAMPLE_WEIGHT * (sample - mean);
 }
 
-/** Before anything is known: half of the class's own targets. */
-function computeColdGuess(
+/** Returns a part of the class's targets as the estimate without samples. */
+function computeColdStartEstimate(
   requestClass: RequestClass,
   options: { tokens: number; hasTokens: boolean },
-): ServiceGuess {
+): ServiceTimeEstimate {
   const { targets } = requestClass;
-  const firstTokenMs = COLD_SHARE * targets.firstTokenMs;
+  const firstTokenMs = COLD_START_SHARE * targets.firstTokenMs;
   const totalMs = options.hasTokens
-    ? firstTokenMs + COLD_SHARE * options.tokens * targets.betweenTokensMs
-    : COLD_SHARE * targets.totalMs;
+    ? firstTokenMs + COLD_START_SHARE * options.tokens * targets.betweenTokensMs
+    : COLD_START_SHARE * targets.totalMs;
   return {
     firstTokenMs,
     totalMs: Math.min(totalMs, targets.totalMs),
--- a/src/process/scheduler/shard_admission.ts
+++ b/src/process/scheduler/shard_admission.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a shard takes a request into its queue, and what a refused caller
- * is told.
+ * Decides whether a shard queues a request, and builds the answers to refused
+ * callers.
  *
  * @module
  */
@@ -21,32 +21,31 @@
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-/** Requests that may wait in a shard, beside the first of each class. */
+/** Default maximum queue length, not counting the first of each class. */
 const QUEUE_BOUND = 4_096;
-/** How long it is remembered that a ticket was passed on. */
-const PASSED_ON_MS = 10_000;
-/** When to come back where no upstream serves the model yet. */
+/** How long a forwarded ticket is remembered, in milliseconds. */
+const FORWARDED_TTL_MS = 10_000;
 const NO_UPSTREAM_RETRY_MS = 5_000;
 
-/** What the admission of a shard looks at. */
 export interface ShardAdmissionOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
-  /** How long the shard's requests will wait. */
   waits: WaitEstimator;
   factory: WaiterFactory;
   features: SchedulerFeatures;
-  listOthers: () => ShardSummary[];
+  listOtherShards: () => ShardSummary[];
   queueBound?: number | undefined;
 }
 
-/** Admission to one shard's queue. */
+/** Admission control of one shard's queue. */
 export class ShardAdmission {
   readonly #options: ShardAdmissionOptions;
-  readonly #retryTimes = RetrySchedule.create();
-  /** Tickets that were passed on, which must not be passed on again. */
-  readonly #passedOn = new Map<TicketId, number>();
+  readonly #retrySchedule = RetrySchedule.create();
+  /**
+   * Forwarded tickets, which must not be forwarded again, with expiry times.
+   */
+  readonly #forwarded = new Map<TicketId, number>();
 
   constructor(options: ShardAdmissionOptions) {
     this.#options = options;
@@ -56,31 +55,32 @@
     return new ShardAdmission(options);
   }
 
-  /** The answer that keeps `waiter` out; undefined when it may wait. */
+  /** Returns the answer that rejects `waiter`, or undefined if it may queue. */
   check(waiter: Waiter, now: number): AcquireAnswer | undefined {
-    if (!this.hasServing(waiter)) return this.buildUnservedAnswer(waiter);
-    // A resumed stream keeps its place in the system: to refuse it would
-    // throw away what has been generated.
+    if (!this.canServe(waiter)) return this.buildNoUpstreamAnswer(waiter);
+    // Refusing a resumed stream would discard the output generated so far.
     if (waiter.isResumed) return undefined;
     return this.#checkClassLimit(waiter) ?? this.#checkDeadline(waiter, now);
   }
 
-  /** The waiter to shed; undefined while the queue is within its bound. */
+  /**
+   * Picks the waiter to shed, or undefined if the queue is within its bound.
+   */
   findVictim(): Waiter | undefined {
-    const { queue, queueBound, features: decisions } = this.#options;
-    if (!decisions.shedding) return undefined;
+    const { queue, queueBound, features } = this.#options;
+    if (!features.shedding) return undefined;
     if (queue.boundedSize <= (queueBound ?? QUEUE_BOUND)) return undefined;
     return queue.findShedVictim();
   }
 
   /**
-   * The waiter that a full class gives up for `waiter`: the last one of the
-   * workspace that has the most waiting, so that one workspace's burst cannot
-   * keep the others out.
+   * Picks the waiter that `waiter` displaces from the queue of a full class:
+   * the latest one of the workspace with the largest backlog. This keeps one
+   * workspace's burst from blocking the others.
    */
-  findCrowding(waiter: Waiter): Waiter | undefined {
-    const { queue, features: decisions } = this.#options;
-    if (!decisions.fairShare || !this.#isClassFull(waiter)) return undefined;
+  findDisplaced(waiter: Waiter): Waiter | undefined {
+    const { queue, features } = this.#options;
+    if (!features.fairShare || !this.#isClassFull(waiter)) return undefined;
     const waiting = queue.getClass(waiter);
     const largest = waiting?.findLargestBacklog();
     if (waiting === undefined || largest === undefined) return undefined;
@@ -91,9 +91,9 @@
     return latest?.isResumed ? undefined : latest;
   }
 
-  /** The answer where the class's own queue is full. */
-  buildFullAnswer(waiter: Waiter): AcquireAnswer {
-    return this.#handOn(waiter) ??
+  /** Builds the answer for a full class queue. */
+  buildQueueFullAnswer(waiter: Waiter): AcquireAnswer {
+    return this.#buildForwardAnswer(waiter) ??
       this.#refuse(
         waiter,
         "queue_full",
@@ -101,100 +101,100 @@
       );
   }
 
-  /** Passes a victim on to a shard that serves a lower tier, or refuses it. */
+  /** Forwards a victim to a shard that serves a lower tier, or refuses it. */
   buildShedAnswer(waiter: Waiter): AcquireAnswer {
-    return this.#handOn(waiter) ??
+    return this.#buildForwardAnswer(waiter) ??
       this.#refuse(waiter, "shed", this.#options.waits.computeWait(waiter));
   }
 
-  /** The answer to a waiter that can no longer be served in time. */
+  /** Builds the refusal for a waiter that cannot meet its target. */
   buildLateAnswer(waiter: Waiter): AcquireAnswer {
     return this.#refuse(
       waiter,
       "deadline_unreachable",
-      this.#options.waits.computeLateRetry(waiter),
+      this.#options.waits.computeRetryAfter(waiter),
     );
   }
 
-  /** Whether an upstream of the shard could serve the waiter. */
-  hasServing(waiter: Waiter): boolean {
+  /** Whether any upstream of the shard can serve the waiter. */
+  canServe(waiter: Waiter): boolean {
     return hasCapableReplica(
       this.#options.replicas.list(),
-      buildBareWish(waiter),
+      buildBasicRequirements(waiter),
     );
   }
 
-  /** Whether one that is in service, or due for a probe, could serve it. */
-  hasServingNow(waiter: Waiter, now: number): boolean {
-    const wish = buildBareWish(waiter);
+  /** Whether an upstream that is in service or due for a probe can serve it. */
+  canServeNow(waiter: Waiter, now: number): boolean {
+    const requirements = buildBasicRequirements(waiter);
     return hasAvailableReplica(this.#options.replicas.list(), {
-      requirements: wish,
+      requirements,
       now,
     });
   }
 
-  /** The answer to a waiter that no upstream serves. */
-  buildUnservedAnswer(waiter: Waiter): AcquireAnswer {
+  /** Builds the refusal for a waiter that no upstream can serve. */
+  buildNoUpstreamAnswer(waiter: Waiter): AcquireAnswer {
     return this.#refuse(waiter, "no_upstream", NO_UPSTREAM_RETRY_MS);
   }
 
-  /** The answer to a late repeat of a ticket that is closed. */
+  /** Builds the refusal of a delayed call for a closed ticket. */
   buildClosedAnswer(): AcquireAnswer {
     return {
       kind: "refused",
       refusal: {
         code: "cancelled",
         message: "The ticket is closed",
-        // The lease that the ticket got may have been used.
+        // The lease granted to the ticket may have been used.
         outcome: "unknown",
       },
     };
   }
 
-  /** Forgets tickets that were passed on long ago. */
-  dropOldTickets(): void {
+  /** Removes expired entries of forwarded tickets. */
+  dropOldForwards(): void {
     const now = this.#options.clock.now();
-    for (const [ticket, until] of this.#passedOn) {
-      if (until <= now) this.#passedOn.delete(ticket);
+    for (const [ticket, until] of this.#forwarded) {
+      if (until <= now) this.#forwarded.delete(ticket);
     }
   }
 
   #checkClassLimit(waiter: Waiter): AcquireAnswer | undefined {
     if (!this.#isClassFull(waiter)) return undefined;
-    if (this.findCrowding(waiter) !== undefined) return undefined;
-    return this.buildFullAnswer(waiter);
+    if (this.findDisplaced(waiter) !== undefined) return undefined;
+    return this.buildQueueFullAnswer(waiter);
   }
 
   #isClassFull(waiter: Waiter): boolean {
-    const { queue, features: decisions } = this.#options;
-    if (!decisions.crowding) return false;
+    const { queue, features } = this.#options;
+    if (!features.crowding) return false;
     const waiting = queue.getClass(waiter)?.size ?? 0;
     return waiting >= waiter.requestClass.queueLimit;
   }
 
   #checkDeadline(waiter: Waiter, now: number): AcquireAnswer | undefined {
-    const { features: decisions, factory } = this.#options;
+    const { features, factory } = this.#options;
     const { requestClass, call } = waiter;
-    if (requestClass.lateIsUseful || !decisions.admission) return undefined;
+    if (requestClass.lateIsUseful || !features.admission) return undefined;
     if (waiter.dropAt <= now) return this.buildLateAnswer(waiter);
     if (!factory.computeSize(call, { requestClass, now }).learnt) {
       return undefined;
     }
     const waitMs = this.#options.waits.computeWait(waiter);
-    // With no wait, starting is the only way to learn that it would have been
-    // in time.
+    // The estimate may be wrong. With no wait, the request is started anyway:
+    // only its run can correct the estimate.
     if (waitMs === 0) return undefined;
     if (now + waitMs <= waiter.dropAt) return undefined;
-    return this.#handOn(waiter) ?? this.buildLateAnswer(waiter);
+    return this.#buildForwardAnswer(waiter) ?? this.buildLateAnswer(waiter);
   }
 
-  #handOn(waiter: Waiter): AcquireAnswer | undefined {
-    const { features: decisions, listOthers, clock } = this.#options;
-    if (!decisions.passOn || this.#passedOn.has(waiter.ticket)) {
+  #buildForwardAnswer(waiter: Waiter): AcquireAnswer | undefined {
+    const { features, listOtherShards, clock } = this.#options;
+    if (!features.passOn || this.#forwarded.has(waiter.ticket)) {
       return undefined;
     }
     let best: ShardSummary | undefined;
-    for (const other of listOthers()) {
+    for (const other of listOtherShards()) {
       if (other.slots === 0) continue;
       if (other.room === 0 && other.lowestRank <= waiter.rank) continue;
       if (best === undefined || other.expectedWaitMs < best.expectedWaitMs) {
@@ -202,7 +202,7 @@
       }
     }
     if (best === undefined) return undefined;
-    this.#passedOn.set(waiter.ticket, clock.now() + PASSED_ON_MS);
+    this.#forwarded.set(waiter.ticket, clock.now() + FORWARDED_TTL_MS);
     return { kind: "pass_on", shard: best.shard };
   }
 
@@ -211,7 +211,7 @@
     code: RefusalCode,
     waitMs: number,
   ): AcquireAnswer {
-    const retryAfterMs = this.#retryTimes.take(waiter.className, {
+    const retryAfterMs = this.#retrySchedule.take(waiter.className, {
       now: this.#options.clock.now(),
       waitMs,
       intervalMs: this.#options.waits.computeGrantInterval(waiter),
@@ -229,14 +229,14 @@
 }
 
 const MESSAGES: Partial<Record<RefusalCode, string>> = {
-  no_upstream: "No upstream of the pool serves what the request needs",
+  no_upstream: "No upstream in the pool can serve the request",
   queue_full: "The queue of the request's class is full",
   shed: "The queue is full and holds requests of higher tiers",
-  deadline_unreachable: "The request could not be finished within its target",
+  deadline_unreachable: "The request cannot meet its latency target",
 };
 
-/** What a waiter needs of a replica, whichever of those it gets. */
-function buildBareWish(waiter: Waiter): ReplicaRequirements {
+/** The requirements that a replica must meet, without any preferences. */
+function buildBasicRequirements(waiter: Waiter): ReplicaRequirements {
   const { model, adapter, avoid } = waiter.call;
   return {
     model,
--- a/src/process/scheduler/shard_choice.ts
+++ b/src/process/scheduler/shard_choice.ts
@@ -1,5 +1,5 @@
 /**
- * Which of a pool's shards a request waits in.
+ * Chooses the shard of a pool in which a request is queued.
  *
  * @module
  */
@@ -11,22 +11,25 @@
 import type { LeaseRequest } from "../services.ts";
 import { chooseShardOfUpstream } from "./shards.ts";
 
-/** The second candidate must expect less than this part of the first's wait. */
-const WORTH_LEAVING = 0.5;
+/**
+ * The second candidate is chosen only if its expected wait is below this
+ * fraction of the first one's.
+ */
+const SWITCH_WAIT_RATIO = 0.5;
 
-/** What the choice rests on. */
 export interface ShardChoiceInput {
   pool: UpstreamPool;
-  /** The pool's upstreams that may get work. */
+  /** The pool's upstreams that accept work. */
   upstreams: readonly ListedVm[];
   findSummary: (shard: ShardId) => ShardSummary | undefined;
 }
 
 /**
- * One of two candidates. Requests with the same prompt prefix have the same
- * candidates, so that their shard's replicas have it cached; of the two the
- * first is taken unless the other has far less to do. Undefined where the pool
- * has no upstream for the request.
+ * Chooses between two candidate shards by rendezvous hashing of the request's
+ * first prompt prefix. Requests with the same prefix get the same candidates,
+ * so that the replicas of those shards have it cached. The first candidate is
+ * used unless the second is much less loaded. Returns undefined if the pool has
+ * no upstream for the request.
  */
 export function chooseShard(
   request: LeaseRequest,
@@ -40,17 +43,17 @@
   const key = request.prefixes[0] ?? request.requestId;
   const [first, second] = computeRendezvousOrder(key, [...shards]);
   if (first === undefined || second === undefined) return first;
-  return isFarBetter(input.findSummary(second), input.findSummary(first))
+  return isMuchFaster(input.findSummary(second), input.findSummary(first))
     ? second
     : first;
 }
 
-function isFarBetter(
+function isMuchFaster(
   second: ShardSummary | undefined,
   first: ShardSummary | undefined,
 ): boolean {
   if (second === undefined || first === undefined) return false;
   if (first.room > 0) return false;
   if (second.room > 0) return true;
-  return second.expectedWaitMs < WORTH_LEAVING * first.expectedWaitMs;
+  return second.expectedWaitMs < SWITCH_WAIT_RATIO * first.expectedWaitMs;
 }
--- a/src/process/scheduler/shard_components.ts
+++ b/src/process/scheduler/shard_components.ts
@@ -1,5 +1,5 @@
 /**
- * The parts that a shard's owner works with, joined.
+ * Creates and connects the components of a shard owner.
  *
  * @module
  */
@@ -18,28 +18,29 @@
 import { WaiterFactory } from "./waiter_factory.ts";
 import { WaitingQueue } from "./waiting_queue.ts";
 
-/** What the parts are made of. */
 export interface ShardComponentsOptions {
   environment: Environment;
   shard: ShardId;
   getSnapshot: () => Snapshot | undefined;
-  /** What is known of the pool's other shards. */
+  /** The latest summaries of the pool's other shards. */
   listOtherShards?: () => ShardSummary[];
   features?: Partial<SchedulerFeatures> | undefined;
-  /** Requests that may wait beside the first of each class. */
+  /** Maximum queue length, not counting the first of each class. */
   queueBound?: number | undefined;
 }
 
-/** One of each. */
 export interface ShardComponents {
   replicas: ReplicaSet;
   queue: WaitingQueue<Waiter>;
-  accounts: LeaseManager;
+  leaseManager: LeaseManager;
   tickets: ShardTickets;
   granter: Granter;
 }
 
-/** Joins them; `onWaiting` hears that slots may be granted. */
+/**
+ * Creates the components. `onWaiting` is called when a new call waits, so that
+ * slots can be granted.
+ */
 export function createShardComponents(
   options: ShardComponentsOptions,
   onWaiting: (now: number) => void,
@@ -48,29 +49,32 @@
   const { clock, log, random } = environment;
   const features = buildFeatures(options.features);
   const lengths = OutputLengths.create(features.learntLengths);
-  const speed = ServiceTimes.create();
-  const factory = WaiterFactory.create(getSnapshot, { lengths, speed });
+  const serviceTimes = ServiceTimes.create();
+  const factory = WaiterFactory.create(getSnapshot, {
+    lengths,
+    serviceTimes,
+  });
   const replicas = ReplicaSet.create(features);
   const queue = WaitingQueue.create<Waiter>(features);
-  const accounts = LeaseManager.create({
+  const leaseManager = LeaseManager.create({
     shard,
     random,
     replicas,
     factory,
     lengths,
-    speed,
-    features: features,
+    serviceTimes,
+    features,
     onClosed: (entry, cost) => {
       queue.noteServed(entry, cost - entry.chargedCost);
       if (cost > 0) queue.noteFinished(entry, cost);
     },
   });
-  const shared = { queue, replicas, accounts, factory, features: features };
+  const shared = { queue, replicas, leaseManager, factory, features };
   const tickets = ShardTickets.create({
     ...shared,
     clock,
     getSnapshot,
-    listOthers: options.listOtherShards ?? (() => []),
+    listOtherShards: options.listOtherShards ?? (() => []),
     queueBound: options.queueBound,
     onWaiting,
   });
@@ -78,9 +82,9 @@
     ...shared,
     shard,
     log,
-    waits: tickets.waits,
+    waitEstimator: tickets.waits,
     getPolicy: () => getSnapshot()?.policy,
     onGranted: (waiter, lease) => tickets.grant(waiter, lease),
   });
-  return { replicas, queue, accounts, tickets, granter };
+  return { replicas, queue, leaseManager, tickets, granter };
 }
