--- a/src/process/scheduler/shard_owner.ts
+++ b/src/process/scheduler/shard_owner.ts
@@ -1,5 +1,6 @@
 /**
- * The owner of one shard: its queue, its leases and its decisions.
+ * The owner of one shard: queues its requests, grants its slots and keeps its
+ * leases.
  *
  * @module
  */
@@ -32,29 +33,27 @@
 import type { Waiter } from "./waiter.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-const TICK_MS = 100;
-/** Ticks between the slower rounds of upkeep. */
-const UPKEEP_TICKS = 10;
+const TICK_INTERVAL_MS = 100;
+const TICKS_PER_UPKEEP = 10;
 
-/** What an owner is made of. */
 export interface ShardOwnerOptions extends ShardComponentsOptions {
-  /** The pool as it is when the owner begins. */
+  /** The pool's record at creation; used if the snapshot lacks the pool. */
   pool: UpstreamPool;
-  /** The shard's upstreams that may get new work. */
+  /** The shard's upstreams that accept new work. */
   listUpstreams: () => ListedVm[];
-  /** The entry VMs whose announcements end the settling time early. */
+  /** The entry VMs whose announcements end the grace period early. */
   listLeaseHolders?: () => VmId[];
 }
 
-/** One shard's owner. Every method may be called late or twice. */
+/** Owner of one shard. All methods tolerate delayed and repeated calls. */
 export class ShardOwner {
   readonly shard: ShardId;
   readonly #options: ShardOwnerOptions;
   readonly #environment: Environment;
   readonly #replicas: ReplicaSet;
   readonly #queue: WaitingQueue<Waiter>;
-  readonly #accounts: LeaseManager;
-  readonly #authority: GracePeriod;
+  readonly #leaseManager: LeaseManager;
+  readonly #gracePeriod: GracePeriod;
   readonly #tickets: ShardTickets;
   readonly #granter: Granter;
   #cancelTick: CancelTimer | undefined;
@@ -66,13 +65,16 @@
     this.shard = options.shard;
     this.#options = options;
     this.#environment = options.environment;
-    this.#authority = GracePeriod.create(this.#getNow());
-    const parts = createShardComponents(options, (now) => this.#grantAll(now));
-    this.#replicas = parts.replicas;
-    this.#queue = parts.queue;
-    this.#accounts = parts.accounts;
-    this.#tickets = parts.tickets;
-    this.#granter = parts.granter;
+    this.#gracePeriod = GracePeriod.create(this.#getNow());
+    const components = createShardComponents(
+      options,
+      (now) => this.#grantAll(now),
+    );
+    this.#replicas = components.replicas;
+    this.#queue = components.queue;
+    this.#leaseManager = components.leaseManager;
+    this.#tickets = components.tickets;
+    this.#granter = components.granter;
     this.onTopologyChange();
     this.#startTick();
   }
@@ -81,14 +83,13 @@
     return new ShardOwner(options);
   }
 
-  /** Whether grants are made, and not held back after a takeover or pause. */
+  /** False during the grace period after a takeover or pause. */
   get canGrant(): boolean {
-    return this.#authority.isSettled(this.#getNow());
+    return this.#gracePeriod.isOver(this.#getNow());
   }
 
-  /** Leases in the ledger. */
   get leaseCount(): number {
-    return this.#accounts.ledger.size;
+    return this.#leaseManager.ledger.size;
   }
 
   get waitingCount(): number {
@@ -96,46 +97,46 @@
   }
 
   /**
-   * Waits for a slot, `call.holdMs` at most, then answers `queued`. The same
-   * ticket called again keeps its place.
+   * Waits up to `call.holdMs` for a slot, then answers `queued`. A repeated
+   * call of the same ticket keeps its position in the queue.
    */
   acquire(call: AcquireCall): Promise<AcquireAnswer> {
     if (this.#stopped) {
       return Promise.resolve({ kind: "not_owner", owner: undefined });
     }
-    return this.#tickets.acquire(call, this.#noteAlive());
+    return this.#tickets.acquire(call, this.#checkPause());
   }
 
-  /** Renews, returns and adopts leases, and takes withdrawn tickets out. */
+  /** Renews, returns and adopts leases, and removes withdrawn tickets. */
   syncLeases(call: SyncCall): SyncAnswer {
-    const now = this.#noteAlive();
+    const now = this.#checkPause();
     const holder = call.from.vm;
-    for (const news of call.news) {
-      this.#accounts.applyNews(news, { holder, now });
+    for (const update of call.news) {
+      this.#leaseManager.applyUpdate(update, { holder, now });
     }
     for (const ticket of call.withdrawn) this.#tickets.cancel(ticket, now);
-    this.#authority.noteAnnounced(holder, now);
-    this.#endSettlingEarly(now);
+    this.#gracePeriod.noteAnnounced(holder, now);
+    this.#endGracePeriodEarly(now);
     this.#grantAll(now);
     return {
       isOwner: true,
-      preempt: this.#accounts.listPreempted(holder),
+      preempt: this.#leaseManager.listPreempted(holder),
     };
   }
 
-  /** Takes in a load report that was received `receivedAgeMs` ago. */
+  /** Applies a load report that was received `receivedAgeMs` ago. */
   applyLoadReport(
     upstream: VmId,
     report: LoadReport,
     receivedAgeMs: number,
   ): void {
-    const now = this.#noteAlive();
+    const now = this.#checkPause();
     const replica = this.#replicas.get(upstream);
     replica?.noteReport(report, { ageMs: report.ageMs + receivedAgeMs, now });
     this.#grantAll(now);
   }
 
-  /** Notes that `upstream` did not answer a poll. */
+  /** Counts a load poll that `upstream` did not answer. */
   noteMissedPoll(upstream: VmId): void {
     const replica = this.#replicas.get(upstream);
     if (replica !== undefined) replica.missedPolls++;
@@ -145,20 +146,20 @@
     this.#replicas.get(upstream)?.cache.applyEvents(events);
   }
 
-  /** The sequence of the last cache event that was taken in. */
+  /** The sequence number of the last cache event applied for `upstream`. */
   getCacheSequence(upstream: VmId): number {
     return this.#replicas.get(upstream)?.cache.sequence ?? 0;
   }
 
-  /** What other VMs should know of the shard. */
+  /** Builds the summary of the shard that is published to the other VMs. */
   buildSummary(): ShardSummary {
     const now = this.#getNow();
-    const { ledger } = this.#accounts;
-    const settled = this.#authority.isSettled(now);
+    const { ledger } = this.#leaseManager;
+    const canGrant = this.#gracePeriod.isOver(now);
     return {
       shard: this.shard,
       owner: this.#environment.vm,
-      room: settled ? this.#replicas.freeSlots : 0,
+      room: canGrant ? this.#replicas.freeSlots : 0,
       slots: this.#replicas.slots,
       waitingByRank: this.#queue.countByRank(),
       lowestRank: Math.max(
@@ -172,28 +173,28 @@
   }
 
   /**
-   * Follows the process's clock, so that an owner that comes back to this
-   * process goes on above the numbers of its predecessor.
+   * Sequence numbers are at least the process's clock, so that an owner that is
+   * created again in this process continues above its predecessor's numbers.
    */
   #takeSequence(now: number): number {
     this.#sequence = Math.max(this.#sequence + 1, Math.floor(now));
     return this.#sequence;
   }
 
-  /** Takes the queue and the ledger of the previous owner over. */
-  takeHandOver(call: HandOverCall): void {
-    const now = this.#noteAlive();
-    for (const news of call.leases) {
-      this.#accounts.applyNews(news, { holder: call.from.vm, now });
+  /** Adopts the queue and the leases of the previous owner. */
+  applyHandOver(call: HandOverCall): void {
+    const now = this.#checkPause();
+    for (const update of call.leases) {
+      this.#leaseManager.applyUpdate(update, { holder: call.from.vm, now });
     }
     for (const waiting of call.waiters) {
       this.#tickets.addHandedOver(waiting, now);
     }
-    this.#authority.endSettling(now);
+    this.#gracePeriod.end(now);
     this.#grantAll(now);
   }
 
-  /** The queue and the ledger for the next owner, with the waiters' ages. */
+  /** Builds the next owner's copy of queue and leases, with waiting times. */
   buildHandOver(): HandOverCall {
     const now = this.#getNow();
     const { vm, incarnation } = this.#environment;
@@ -207,22 +208,22 @@
       from: { vm, incarnation },
       shard: this.shard,
       waiters,
-      leases: this.#accounts.listNews(),
+      leases: this.#leaseManager.listUpdates(),
     };
   }
 
-  /** Reads the list of upstreams again. */
+  /** Reloads the list of upstreams. */
   onTopologyChange(): void {
     const now = this.#getNow();
     this.#replicas.updateList(this.#options.listUpstreams(), {
       slots: this.#getPool().slots,
-      countInUse: (upstream) => this.#accounts.ledger.countInUse(upstream),
+      countInUse: (upstream) => this.#leaseManager.ledger.countInUse(upstream),
       now,
     });
     this.#grantAll(now);
   }
 
-  /** Stops granting; held calls are told to look for the owner anew. */
+  /** Stops granting and redirects held calls to `nextOwner`. */
   stop(nextOwner?: VmId): void {
     if (this.#stopped) return;
     this.#stopped = true;
@@ -231,26 +232,29 @@
   }
 
   #grantAll(now: number): void {
-    if (this.#stopped || !this.#authority.isSettled(now)) return;
+    if (this.#stopped || !this.#gracePeriod.isOver(now)) return;
     this.#granter.grantAll(now);
   }
 
   #startTick(): void {
-    this.#cancelTick = this.#environment.clock.startTimer(TICK_MS, () => {
-      if (this.#stopped) return;
-      this.#runTick();
-      this.#startTick();
-    });
+    this.#cancelTick = this.#environment.clock.startTimer(
+      TICK_INTERVAL_MS,
+      () => {
+        if (this.#stopped) return;
+        this.#runTick();
+        this.#startTick();
+      },
+    );
   }
 
   #runTick(): void {
-    const now = this.#noteAlive();
-    this.#endSettlingEarly(now);
+    const now = this.#checkPause();
+    this.#endGracePeriodEarly(now);
     this.#grantAll(now);
-    this.#tickets.dropGone(now);
-    if (!this.#authority.isSettled(now)) return;
-    this.#tickets.refuseHopeless(now);
-    const expired = this.#accounts.closeExpired(now);
+    this.#tickets.dropAbandoned(now);
+    if (!this.#gracePeriod.isOver(now)) return;
+    this.#tickets.refuseExpired(now);
+    const expired = this.#leaseManager.closeExpired(now);
     if (expired.length > 0) {
       this.#environment.log.warn("leases_expired", {
         shard: this.shard,
@@ -258,7 +262,7 @@
       });
     }
     this.#granter.preempt(now);
-    if (this.#ticks++ % UPKEEP_TICKS === 0) this.#runUpkeep(now);
+    if (this.#ticks++ % TICKS_PER_UPKEEP === 0) this.#runUpkeep(now);
     this.#grantAll(now);
   }
 
@@ -272,22 +276,22 @@
       });
     }
     this.#queue.dropIdle();
-    this.#accounts.ledger.dropOldClosed(now);
+    this.#leaseManager.ledger.dropOldClosed(now);
     this.#tickets.dropOld();
   }
 
-  #endSettlingEarly(now: number): void {
+  #endGracePeriodEarly(now: number): void {
     const holders = this.#options.listLeaseHolders?.() ?? [];
-    this.#authority.endEarly(holders, now);
+    this.#gracePeriod.endEarly(holders, now);
   }
 
-  /** The time now; after a pause the owner settles anew before it grants. */
-  #noteAlive(): number {
+  /** Returns the time; a detected pause starts a new grace period. */
+  #checkPause(): number {
     const now = this.#getNow();
-    if (!this.#authority.noteAlive(now)) return now;
-    // Renewals and calls could not come in while the process stood still:
-    // leases that ran out meanwhile stay until the end of settling, and
-    // tickets get their whole time anew.
+    if (!this.#gracePeriod.checkPause(now)) return now;
+    // A paused process receives no renewals and no calls. Leases that expired
+    // meanwhile are kept until the grace period ends, and the tickets' time to
+    // live starts again.
     this.#tickets.renewAll(now);
     this.#environment.log.warn("owner_paused", { shard: this.shard });
     return now;
--- a/src/process/scheduler/shard_owners.ts
+++ b/src/process/scheduler/shard_owners.ts
@@ -1,5 +1,5 @@
 /**
- * All shards that this VM owns now.
+ * The owners of all shards that this VM currently owns.
  *
  * @module
  */
@@ -29,30 +29,27 @@
   parseShardId,
 } from "./shards.ts";
 
-/** How often the load of each owned upstream is asked for, in milliseconds. */
-const POLL_EVERY_MS = 1_000;
-/** Tries to hand a queue over, and the time between them. */
-const HAND_OVER_TRIES = 5;
+const POLL_INTERVAL_MS = 1_000;
+const HAND_OVER_ATTEMPTS = 5;
 const HAND_OVER_RETRY_MS = 200;
 const HAND_OVER_DEADLINE_MS = 1_000;
 /**
- * For so long after its start a process settles for the whole time. An entry
- * VM may not have noticed the restart, and then its first call renews only
- * some of its leases.
+ * Time after the start of the process during which a grace period never ends
+ * early. An entry VM that has not noticed the restart reports only those of its
+ * leases that are due for renewal in its first call.
  */
-const RESTART_MS = 10_000;
+const RESTART_GRACE_MS = 10_000;
 
-/** What the owners are made of. */
 export interface ShardOwnersOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
   features?: Partial<SchedulerFeatures> | undefined;
-  /** Requests that may wait in a shard beside the first of each class. */
+  /** Maximum queue length of a shard, not counting the first of each class. */
   queueBound?: number | undefined;
-  /** What the owner of a shard last let the fleet know of it. */
+  /** Finds the latest summary that a shard's owner has published. */
   findSummary?: (shard: ShardId) => ShardSummary | undefined;
-  /** Hears an upstream's own word, from each load report. */
+  /** Called for each load report with the upstream's leaving notice. */
   onUpstreamLeaving?: (
     upstream: VmId,
     isLeaving: boolean,
@@ -60,22 +57,22 @@
   ) => void;
 }
 
-/** Makes, feeds and drops the owners of this VM's shards. */
+/** Creates, updates and removes the owners of this VM's shards. */
 export class ShardOwners {
   readonly #options: ShardOwnersOptions;
   readonly #environment: Environment;
-  readonly #polls: LoadPoller;
+  readonly #poller: LoadPoller;
   readonly #owners = new Map<ShardId, ShardOwner>();
   readonly #stopped = new AbortController();
   readonly #createdAt: number;
-  /** Shards that are being handed over. */
+  /** Hand-overs in progress. */
   readonly #handOvers = new Set<Promise<void>>();
   #draining = false;
 
   constructor(options: ShardOwnersOptions) {
     this.#options = options;
     this.#environment = options.environment;
-    this.#polls = LoadPoller.create(options);
+    this.#poller = LoadPoller.create(options);
     this.#createdAt = options.environment.clock.now();
     options.membership.onChange(() => this.#updateOwners());
   }
@@ -84,7 +81,7 @@
     return new ShardOwners(options);
   }
 
-  /** Starts to poll the upstreams of the owned shards. */
+  /** Starts polling the load of the upstreams in the owned shards. */
   start(): void {
     void this.#runPolls();
   }
@@ -95,47 +92,50 @@
     this.#owners.clear();
   }
 
-  /** Answers another VM's, or this VM's own, call for a slot. */
+  /** Handles a call for a slot from any VM, including this one. */
   async acquire(call: AcquireCall): Promise<AcquireAnswer> {
     const owner = this.#getOwner(call.shard);
     if (owner !== undefined) return await owner.acquire(call);
     return { kind: "not_owner", owner: this.#findOtherOwner(call.shard) };
   }
 
-  /** Answers a call that renews, returns and announces leases. */
+  /** Handles a call that renews, returns and announces leases. */
   syncLeases(call: SyncCall): SyncAnswer {
     const owner = this.#getOwner(call.shard);
     return owner?.syncLeases(call) ?? { isOwner: false, preempt: [] };
   }
 
-  /** Takes a shard over from a VM that drains; false where not its owner. */
+  /**
+   * Takes a shard over from a draining VM; false if this VM is not its owner.
+   */
   handOver(call: HandOverCall): boolean {
     const owner = this.#getOwner(call.shard);
-    owner?.takeHandOver(call);
+    owner?.applyHandOver(call);
     return owner !== undefined;
   }
 
-  /** The summaries of the owned shards. */
   listSummaries(): ShardSummary[] {
     return this.listOwners().map((owner) => owner.buildSummary());
   }
 
-  /** The owners of the shards that this VM owns now. */
   listOwners(): ShardOwner[] {
     return [...this.#owners.values()];
   }
 
-  /** Hands every queue on, for a drain; resolves when all has been tried. */
+  /**
+   * Hands every shard over to its next owner when this VM drains. Resolves when
+   * all hand-overs have succeeded or failed.
+   */
   async handOverAll(): Promise<void> {
     this.#draining = true;
     for (const owner of this.listOwners()) this.#startHandOver(owner);
     await Promise.all(this.#handOvers);
   }
 
-  /** The owner of `shard` on this VM, made when there is none yet. */
+  /** Returns this VM's owner of `shard`, created on first use. */
   #getOwner(shard: ShardId): ShardOwner | undefined {
     const pool = this.#findPool(shard);
-    if (pool === undefined || !this.#isMine(shard)) return undefined;
+    if (pool === undefined || !this.#isOwnedHere(shard)) return undefined;
     const known = this.#owners.get(shard);
     if (known !== undefined) return known;
     const owner = this.#createOwner(shard, pool);
@@ -145,28 +145,27 @@
   }
 
   #createOwner(shard: ShardId, pool: UpstreamPool): ShardOwner {
-    const { environment, getSnapshot, features: decisions, queueBound } =
-      this.#options;
+    const { environment, getSnapshot, features, queueBound } = this.#options;
     return ShardOwner.create({
       environment,
       shard,
       pool,
       getSnapshot,
-      features: decisions,
+      features,
       queueBound,
       listUpstreams: () => this.#listUpstreams(shard, pool),
-      listLeaseHolders: () => this.#listHolders(),
-      listOtherShards: () => this.#listOthers(shard, pool),
+      listLeaseHolders: () => this.#listLeaseHolders(),
+      listOtherShards: () => this.#listOtherShards(shard, pool),
     });
   }
 
-  #isMine(shard: ShardId): boolean {
+  #isOwnedHere(shard: ShardId): boolean {
     if (this.#draining || this.#stopped.signal.aborted) return false;
     const owner = this.#options.membership.findOwner(buildShardKey(shard));
     return owner === this.#environment.vm;
   }
 
-  /** The owner to name to a caller, which is never this VM. */
+  /** The owner that a caller is redirected to, which is never this VM. */
   #findOtherOwner(shard: ShardId): VmId | undefined {
     const owner = this.#options.membership.findOwner(buildShardKey(shard));
     return owner === this.#environment.vm ? undefined : owner;
@@ -184,17 +183,20 @@
     return listShardUpstreams(shard, { pool: current, vms });
   }
 
-  /** The VMs whose announcements end settling; none after a restart. */
-  #listHolders(): VmId[] {
+  /**
+   * The VMs whose announcements end a grace period early. Empty soon after a
+   * start, so that the grace period lasts its full time.
+   */
+  #listLeaseHolders(): VmId[] {
     const { membership } = this.#options;
     const upMs = this.#environment.clock.now() - this.#createdAt;
-    if (upMs < RESTART_MS) return [];
+    if (upMs < RESTART_GRACE_MS) return [];
     return membership.listEntryVms()
       .map((vm) => vm.id)
       .filter((vm) => membership.isReachable(vm));
   }
 
-  #listOthers(shard: ShardId, pool: UpstreamPool): ShardSummary[] {
+  #listOtherShards(shard: ShardId, pool: UpstreamPool): ShardSummary[] {
     const { findSummary } = this.#options;
     if (findSummary === undefined) return [];
     return listPoolShards(pool)
@@ -202,11 +204,11 @@
       .flatMap((other) => findSummary(other) ?? []);
   }
 
-  /** Drops shards that are no longer this VM's; tells the others of changes. */
+  /** Hands over shards that this VM no longer owns and updates the others. */
   #updateOwners(): void {
     for (const [shard, owner] of this.#owners) {
       if (this.#draining) return;
-      if (this.#findPool(shard) !== undefined && this.#isMine(shard)) {
+      if (this.#findPool(shard) !== undefined && this.#isOwnedHere(shard)) {
         owner.onTopologyChange();
       } else {
         this.#startHandOver(owner);
@@ -221,8 +223,8 @@
   }
 
   /**
-   * Ends an owner and hands its queue and ledger to the next one. Grants stop
-   * first: a slot granted after the ledger was read would be granted twice.
+   * Stops an owner and sends its queue and leases to the next one. Nothing is
+   * granted once the leases are copied: such a slot would be granted twice.
    */
   async #handOverShard(owner: ShardOwner): Promise<void> {
     const { shard } = owner;
@@ -230,7 +232,7 @@
     const handOver = owner.buildHandOver();
     this.#owners.delete(shard);
     owner.stop(this.#findOtherOwner(shard));
-    for (let tried = 0; tried < HAND_OVER_TRIES; tried++) {
+    for (let attempt = 0; attempt < HAND_OVER_ATTEMPTS; attempt++) {
       const next = this.#findOtherOwner(shard);
       if (next === undefined || this.#stopped.signal.aborted) break;
       if (await this.#sendHandOver(next, handOver)) {
@@ -247,8 +249,8 @@
         this.#stopped.signal,
       );
     }
-    // The next owner settles as after a crash: entry VMs announce their leases
-    // and waiters call again.
+    // The next owner recovers as after a crash: entry VMs announce their leases
+    // and waiting tickets call again.
     this.#environment.log.warn("shard_not_handed_over", { shard });
   }
 
@@ -267,18 +269,21 @@
   async #runPolls(): Promise<void> {
     const { signal } = this.#stopped;
     while (!signal.aborted) {
-      this.#createOwned();
+      this.#createListedOwners();
       this.#updateOwners();
       const polls = this.listOwners().map((owner) =>
         this.#fetchShardLoads(owner)
       );
-      const pause = this.#environment.clock.sleep(POLL_EVERY_MS, signal);
-      await Promise.all([pause, ...polls]);
+      const interval = this.#environment.clock.sleep(POLL_INTERVAL_MS, signal);
+      await Promise.all([interval, ...polls]);
     }
   }
 
-  /** Owns the listed shards before their first call, so that it need not wait. */
-  #createOwned(): void {
+  /**
+   * Creates the owners of listed shards before their first call, so that the
+   * call does not have to wait for the grace period.
+   */
+  #createListedOwners(): void {
     const pools = this.#options.getSnapshot()?.pools.values() ?? [];
     for (const pool of pools) {
       const vms = this.#options.membership.listUpstreams(pool.name);
@@ -290,6 +295,6 @@
     const pool = this.#findPool(owner.shard);
     if (pool === undefined || pool.type !== "model") return;
     const upstreams = this.#listUpstreams(owner.shard, pool);
-    await this.#polls.fetchLoads(owner, upstreams.map(({ id }) => id));
+    await this.#poller.fetchLoads(owner, upstreams.map(({ id }) => id));
   }
 }
--- a/src/process/scheduler/shard_tickets.ts
+++ b/src/process/scheduler/shard_tickets.ts
@@ -1,5 +1,5 @@
 /**
- * The tickets of one shard: let in, answered, refused, withdrawn.
+ * The life cycle of a shard's tickets: admission, grant, refusal, withdrawal.
  *
  * @module
  */
@@ -23,44 +23,47 @@
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-/** How long a waiter that no upstream serves is kept, in milliseconds. */
-const UNSERVED_MS = 3_000;
+/**
+ * How long a waiter is kept while no upstream can serve it, in milliseconds.
+ */
+const MAX_UNSERVED_MS = 3_000;
 
-/** What the tickets of a shard stand in. */
 export interface ShardTicketsOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
-  accounts: LeaseManager;
+  leaseManager: LeaseManager;
   factory: WaiterFactory;
   features: SchedulerFeatures;
   getSnapshot: () => Snapshot | undefined;
-  listOthers: () => ShardSummary[];
+  listOtherShards: () => ShardSummary[];
   queueBound: number | undefined;
-  /** Hears that a ticket's call is held, so that slots may be granted. */
+  /** Called when a ticket's call is held, so that slots can be granted. */
   onWaiting: (now: number) => void;
 }
 
-/** Every ticket that the shard's owner knows of. */
+/** All tickets of one shard. */
 export class ShardTickets {
-  /** How long the waiting tickets will wait. */
   readonly waits: WaitEstimator;
   readonly #options: ShardTicketsOptions;
-  readonly #verdicts: PendingRefusals;
+  readonly #refusals: PendingRefusals;
   readonly #admission: ShardAdmission;
   readonly #calls: TicketCalls;
 
   constructor(options: ShardTicketsOptions) {
-    const { clock, queue, accounts } = options;
+    const { clock, queue, leaseManager } = options;
     this.#options = options;
-    this.waits = WaitEstimator.create({ ...options, ledger: accounts.ledger });
-    this.#verdicts = PendingRefusals.create(clock);
+    this.waits = WaitEstimator.create({
+      ...options,
+      ledger: leaseManager.ledger,
+    });
+    this.#refusals = PendingRefusals.create(clock);
     this.#admission = ShardAdmission.create({ ...options, waits: this.waits });
     this.#calls = TicketCalls.create({
       clock,
       queue,
       waits: this.waits,
-      verdicts: this.#verdicts,
+      refusals: this.#refusals,
     });
   }
 
@@ -68,96 +71,96 @@
     return new ShardTickets(options);
   }
 
-  /** Answers a ticket's call, at once or when its hold is over. */
+  /** Answers a ticket's call, at the latest when its hold time ends. */
   acquire(call: AcquireCall, now: number): Promise<AcquireAnswer> {
-    const { accounts, queue } = this.#options;
-    const held = accounts.ledger.findByTicket(call.ticket);
+    const { leaseManager, queue } = this.#options;
+    const held = leaseManager.ledger.findByTicket(call.ticket);
     if (held !== undefined) {
-      const lease = accounts.buildSlotLease(held);
+      const lease = leaseManager.buildSlotLease(held);
       return Promise.resolve({ kind: "granted", lease });
     }
-    if (accounts.ledger.isClosed(call.ticket, now)) {
+    if (leaseManager.ledger.isClosed(call.ticket, now)) {
       return Promise.resolve(this.#admission.buildClosedAnswer());
     }
-    const verdict = this.#verdicts.take(call.ticket);
-    if (verdict !== undefined) return Promise.resolve(verdict);
+    const refusal = this.#refusals.take(call.ticket);
+    if (refusal !== undefined) return Promise.resolve(refusal);
     const known = queue.get(call.ticket);
     if (known === undefined) return this.#acquireNew(call, now);
     known.call = call;
     return this.#startCall(known, now);
   }
 
-  /** Adds a ticket that waited at the previous owner. */
+  /** Adds a ticket handed over by the previous owner. */
   addHandedOver(call: AcquireCall, now: number): void {
-    const { accounts, factory, queue } = this.#options;
+    const { leaseManager, factory, queue } = this.#options;
     const isKnown = queue.get(call.ticket) !== undefined ||
-      accounts.ledger.findByTicket(call.ticket) !== undefined ||
-      accounts.ledger.isClosed(call.ticket, now);
+      leaseManager.ledger.findByTicket(call.ticket) !== undefined ||
+      leaseManager.ledger.isClosed(call.ticket, now);
     if (isKnown) return;
     const waiter = factory.build(call, now);
     queue.add(waiter, now);
-    this.#calls.addUncalled(waiter, now);
+    this.#calls.addUnpolled(waiter, now);
   }
 
-  /** Tells a waiter that it has a slot. */
+  /** Answers a waiter's call with its lease. */
   grant(waiter: Waiter, lease: SlotLease): void {
     this.#calls.grant(waiter, lease);
   }
 
-  /** Takes a ticket out whose caller went away, with the slot that it has. */
+  /** Removes a ticket whose caller disconnected, and releases its slot. */
   cancel(ticket: TicketId, now: number): void {
-    const { accounts, queue } = this.#options;
+    const { leaseManager, queue } = this.#options;
     const waiter = queue.get(ticket);
     if (waiter !== undefined) {
       this.#calls.settle(waiter, this.#admission.buildClosedAnswer());
     }
-    const lease = accounts.ledger.findByTicket(ticket);
-    if (lease !== undefined) accounts.releaseTicket(lease, now);
-    accounts.ledger.noteClosed(ticket, now);
+    const lease = leaseManager.ledger.findByTicket(ticket);
+    if (lease !== undefined) leaseManager.releaseTicket(lease, now);
+    leaseManager.ledger.noteClosed(ticket, now);
   }
 
-  /** Refuses the waiters whose answer would now be useless. */
-  refuseHopeless(now: number): void {
+  /** Refuses waiters whose response would now be useless. */
+  refuseExpired(now: number): void {
     for (const waiter of this.#options.queue.takeExpired(now)) {
       this.#calls.settle(waiter, this.#admission.buildLateAnswer(waiter));
     }
   }
 
-  /** Refuses waiters whose model or last upstream went out of service. */
+  /** Refuses waiters that no upstream in service has been able to serve. */
   refuseUnserved(now: number): void {
     for (const waiter of [...this.#options.queue.list()]) {
-      if (this.#admission.hasServingNow(waiter, now)) {
+      if (this.#admission.canServeNow(waiter, now)) {
         waiter.unservedSince = undefined;
         continue;
       }
       waiter.unservedSince ??= now;
-      if (now - waiter.unservedSince < UNSERVED_MS) continue;
-      const answer = this.#admission.buildUnservedAnswer(waiter);
+      if (now - waiter.unservedSince < MAX_UNSERVED_MS) continue;
+      const answer = this.#admission.buildNoUpstreamAnswer(waiter);
       this.#calls.settle(waiter, answer);
     }
   }
 
-  /** Gives every waiter the same last answer. */
+  /** Removes every waiter with the same final answer. */
   settleAll(answer: AcquireAnswer): void {
     for (const waiter of [...this.#options.queue.list()]) {
       this.#calls.settle(waiter, answer);
     }
   }
 
-  /** Takes out tickets whose calls no longer come. */
-  dropGone(now: number): void {
-    this.#calls.dropGone(now);
+  /** Removes tickets whose next call did not arrive in time. */
+  dropAbandoned(now: number): void {
+    this.#calls.dropAbandoned(now);
   }
 
-  /** Gives every ticket its whole time anew, after a pause. */
+  /** Restarts the time to live of every ticket after a pause. */
   renewAll(now: number): void {
     this.#calls.renewAll(now);
   }
 
-  /** Forgets what is kept for tickets that left long ago. */
+  /** Removes expired answers and entries of forwarded tickets. */
   dropOld(): void {
-    this.#verdicts.dropOld();
-    this.#admission.dropOldTickets();
+    this.#refusals.dropOld();
+    this.#admission.dropOldForwards();
   }
 
   #acquireNew(call: AcquireCall, now: number): Promise<AcquireAnswer> {
@@ -165,10 +168,10 @@
     const waiter = factory.build(call, now);
     const refused = this.#admission.check(waiter, now);
     if (refused !== undefined) return Promise.resolve(refused);
-    const crowding = this.#admission.findCrowding(waiter);
-    if (crowding !== undefined) {
-      const answer = this.#admission.buildFullAnswer(crowding);
-      this.#calls.settle(crowding, answer);
+    const displaced = this.#admission.findDisplaced(waiter);
+    if (displaced !== undefined) {
+      const answer = this.#admission.buildQueueFullAnswer(displaced);
+      this.#calls.settle(displaced, answer);
     }
     queue.add(waiter, now);
     const answer = this.#startCall(waiter, now);
--- a/src/process/scheduler/shards.ts
+++ b/src/process/scheduler/shards.ts
@@ -1,10 +1,10 @@
 /**
- * Which shard an upstream belongs to.
+ * Assigns upstreams to the shards of their pool.
  *
- * Each upstream chooses its shard on its own, by rendezvous hashing over the
- * pool's shards. A split that depended on the other upstreams would be more
- * even, but two VMs with different views of the pool would then put one
- * upstream into two shards, and two owners would grant its slots.
+ * Each upstream is assigned by rendezvous hashing, independently of the other
+ * upstreams. An assignment that depends on the others would be more even, but
+ * VMs with different views of the pool would then assign one upstream to two
+ * shards, and two owners would grant its slots.
  *
  * @module
  */
@@ -14,16 +14,19 @@
 import type { UpstreamPool } from "../../version/records.ts";
 import { pickRendezvousFirst } from "../rendezvous.ts";
 
-/** Upstreams whose shard is kept for one pool; replaced ones add up. */
-const MAX_CHOSEN = 20_000;
-const CHOSEN = new WeakMap<UpstreamPool, Map<VmId, ShardId>>();
+/**
+ * Bound on cached assignments per pool. Entries of replaced upstreams are never
+ * removed one by one; the cache is cleared when it is full.
+ */
+const MAX_CACHED_UPSTREAMS = 20_000;
+const SHARD_CACHE = new WeakMap<UpstreamPool, Map<VmId, ShardId>>();
 
-/** The shard `index` of `pool`, written `POOL/INDEX`. */
+/** Builds the id of shard `index` of `pool`, in the form `POOL/INDEX`. */
 export function buildShardId(pool: PoolName, index: number): ShardId {
   return toId<ShardId>(`${pool}/${index}`);
 }
 
-/** The pool and index of `shard`; undefined where it is none. */
+/** Splits a shard id into pool and index; undefined if it is malformed. */
 export function parseShardId(
   shard: ShardId,
 ): { pool: PoolName; index: number } | undefined {
@@ -34,12 +37,12 @@
   return { pool: toId<PoolName>(shard.slice(0, slash)), index };
 }
 
-/** The key under which `MembershipView.findOwner` finds the shard's owner. */
+/** The key that `MembershipView.findOwner` maps to the shard's owner. */
 export function buildShardKey(shard: ShardId): string {
   return `shard:${shard}`;
 }
 
-/** Every shard of `pool`, those without upstreams too. */
+/** Lists all shards of `pool`, including those without upstreams. */
 export function listPoolShards(pool: UpstreamPool): ShardId[] {
   const shards: ShardId[] = [];
   for (let index = 0; index < pool.shards; index++) {
@@ -49,38 +52,38 @@
 }
 
 /**
- * The shard of `pool` that `upstream` belongs to.
+ * Returns the shard of `pool` that `upstream` is assigned to.
  *
- * Each VM asks this of every upstream for each request and in each round of
- * its duties, and each answer hashes every shard of the pool. Computed anew,
- * the processor time would grow with upstreams times shards on every VM, so
- * the answers are kept with the pool's record, which never changes.
+ * Results are cached per pool record, which is immutable. Every VM looks up
+ * every upstream for each request and in each periodic round, and a lookup
+ * hashes all shards of the pool: without the cache the CPU time on every VM
+ * would grow with upstreams times shards.
  */
 export function chooseShardOfUpstream(
   pool: UpstreamPool,
   upstream: ListedVm["id"],
 ): ShardId {
-  const chosen = getChosen(pool);
-  const known = chosen.get(upstream);
+  const cached = getCachedShards(pool);
+  const known = cached.get(upstream);
   if (known !== undefined) return known;
   const shard =
     pickRendezvousFirst(`upstream:${upstream}`, listPoolShards(pool)) ??
       buildShardId(pool.name, 0);
-  if (chosen.size >= MAX_CHOSEN) chosen.clear();
-  chosen.set(upstream, shard);
+  if (cached.size >= MAX_CACHED_UPSTREAMS) cached.clear();
+  cached.set(upstream, shard);
   return shard;
 }
 
-function getChosen(pool: UpstreamPool): Map<VmId, ShardId> {
-  let chosen = CHOSEN.get(pool);
-  if (chosen === undefined) {
-    chosen = new Map();
-    CHOSEN.set(pool, chosen);
+function getCachedShards(pool: UpstreamPool): Map<VmId, ShardId> {
+  let cached = SHARD_CACHE.get(pool);
+  if (cached === undefined) {
+    cached = new Map();
+    SHARD_CACHE.set(pool, cached);
   }
-  return chosen;
+  return cached;
 }
 
-/** The upstreams in `vms` that belong to `shard` of `pool`. */
+/** Lists the upstreams in `vms` that are assigned to `shard` of `pool`. */
 export function listShardUpstreams(
   shard: ShardId,
   options: { pool: UpstreamPool; vms: readonly ListedVm[] },
@@ -91,7 +94,10 @@
   );
 }
 
-/** The shards of `pool` that hold an upstream of `vms`. */
+/**
+ * Lists the shards of `pool` that at least one upstream in `vms` is assigned
+ * to.
+ */
 export function listNonEmptyShards(
   pool: UpstreamPool,
   vms: readonly ListedVm[],
--- a/src/process/scheduler/shed_victim.ts
+++ b/src/process/scheduler/shed_victim.ts
@@ -1,5 +1,5 @@
 /**
- * Which waiting request is given up when a shard's queue is too long.
+ * Chooses the waiting request to shed when a shard's queue is too long.
  *
  * @module
  */
@@ -8,9 +8,9 @@
 import type { QueueEntry } from "./waiter.ts";
 
 /**
- * The entry to shed among classes that have some: the last that came of those
- * that the workspaces with the most waiting have last. The head of a class is
- * chosen only where every class has nothing else.
+ * Returns the entry to shed: for each class the latest entry of the workspace
+ * with the largest backlog, and among these the latest one. The head of a class
+ * is chosen only if no class offers another entry.
  */
 export function chooseShedVictim<T extends QueueEntry>(
   classes: Iterable<ClassQueue<T>>,
@@ -21,16 +21,19 @@
     const entry = findLatest(queue, queue.findLargestBacklog());
     if (entry === undefined) continue;
     const entryIsHead = queue.getOldest() === entry;
-    const better = victim === undefined || (isHead && !entryIsHead) ||
+    const isBetter = victim === undefined || (isHead && !entryIsHead) ||
       (isHead === entryIsHead && entry.sequence > victim.sequence);
-    if (!better) continue;
+    if (!isBetter) continue;
     victim = entry;
     isHead = entryIsHead;
   }
   return victim;
 }
 
-/** The last entry of `workspace`; a started one only if there is no other. */
+/**
+ * Returns the latest entry of `workspace`. Resumed ones are returned only if
+ * the workspace has no others.
+ */
 export function findLatest<T extends QueueEntry>(
   queue: ClassQueue<T>,
   workspace: WorkspaceName | undefined,
@@ -43,7 +46,7 @@
   return latest;
 }
 
-function isBetterVictim(entry: QueueEntry, than: QueueEntry): boolean {
-  if (entry.isResumed !== than.isResumed) return than.isResumed;
-  return entry.sequence > than.sequence;
+function isBetterVictim(entry: QueueEntry, other: QueueEntry): boolean {
+  if (entry.isResumed !== other.isResumed) return other.isResumed;
+  return entry.sequence > other.sequence;
 }
--- a/src/process/scheduler/slot_limit.ts
+++ b/src/process/scheduler/slot_limit.ts
@@ -1,24 +1,25 @@
 /**
- * How many slots a replica gets: adapted to what callers see of it.
+ * Adaptive concurrency limit of a replica.
  *
  * @module
  */
 import type { ClassName } from "../../ids.ts";
 import type { UpstreamPool } from "../../version/records.ts";
 
-/** How often the limit changes at most, in milliseconds. */
-const ADJUST_EVERY_MS = 1_000;
-/** Mean time between tokens as a part of the target. */
-const COMFORTABLE = 0.85;
-const TOO_SLOW = 1.0;
-const DECREASE = 0.85;
-/** Cache memory in use above which no slot is added, or one is taken. */
-const CACHE_FULL = 0.9;
-const CACHE_OVERFULL = 0.97;
+/** Minimum time between two changes of the limit. */
+const ADJUST_INTERVAL_MS = 1_000;
+/** Bounds of the ratio of the smoothed time between tokens to its target. */
+const GROW_BELOW_RATIO = 0.85;
+const SHRINK_ABOVE_RATIO = 1.0;
+const DECREASE_FACTOR = 0.85;
+/** The limit grows only while less of the cache memory is in use. */
+const GROW_BELOW_CACHE = 0.9;
+/** The limit shrinks when this share of the cache memory is in use. */
+const MAX_CACHE_USED = 0.97;
+/** Weight of a new sample in the smoothed ratios. */
 const SAMPLE_WEIGHT = 0.2;
-
-/** How long a class without samples counts, in milliseconds. */
-const RATIO_LIFE_MS = 5_000;
+/** How long a class's ratio is used after its last sample. */
+const RATIO_TTL_MS = 5_000;
 
 interface RatioTrack {
   ratio: number;
@@ -26,16 +27,16 @@
 }
 
 /**
- * Additive increase, multiplicative decrease: one slot more while the replica
- * is full and its tokens come well within their targets, a share less when
- * they do not or when cache memory runs out.
+ * Additive increase, multiplicative decrease (AIMD) of the slots: adds a slot
+ * while all are in use and the time between tokens is well within its target,
+ * and removes a share when it is above the target or cache memory runs out.
  */
 export class SlotLimit {
   readonly #adaptive: boolean;
   #limit: number;
   #min: number;
   #max: number;
-  /** Per class: smoothed time between tokens divided by the target. */
+  /** Smoothed time between tokens divided by the target, by class. */
   readonly #ratios = new Map<ClassName, RatioTrack>();
   #samples = 0;
   #cacheUsed = 0;
@@ -61,7 +62,7 @@
     return Math.floor(this.#limit);
   }
 
-  /** Takes over changed bounds of the pool. */
+  /** Applies the pool's slot bounds. */
   setBounds(slots: UpstreamPool["slots"]): void {
     this.#min = slots.min;
     this.#max = slots.max;
@@ -69,7 +70,7 @@
     this.#limit = Math.min(this.#max, Math.max(this.#min, this.#limit));
   }
 
-  /** A lease's time between tokens as a part of its class's target. */
+  /** Records a lease's time between tokens, divided by its class's target. */
   noteRatio(
     className: ClassName,
     sample: { ratio: number; now: number },
@@ -85,50 +86,50 @@
     track.at = now;
   }
 
-  /** What a report, young enough, says of memory and the engine's queue. */
+  /** Records cache memory and engine queue length from a recent report. */
   noteReport(report: { cacheUsed: number; waiting: number }): void {
     this.#cacheUsed = report.cacheUsed;
     this.#engineWaiting = report.waiting;
   }
 
-  /** A report that is missing or too old says nothing. */
+  /** Resets the reported values when the report is missing or too old. */
   dropReport(): void {
     this.#cacheUsed = 0;
     this.#engineWaiting = 0;
   }
 
-  /** Notes that all slots are in use: only then does more room help. */
+  /** Records that all slots are in use; the limit grows only then. */
   noteFull(): void {
     this.#wasFull = true;
   }
 
-  /** Changes the limit if the time has come. */
+  /** Adapts the limit, at most once per interval. */
   update(now: number): void {
     if (!this.#adaptive) return;
-    if (now - this.#adjustedAt < ADJUST_EVERY_MS) return;
+    if (now - this.#adjustedAt < ADJUST_INTERVAL_MS) return;
     this.#adjustedAt = now;
-    const next = this.#computeNext(now);
+    const next = this.#computeNextLimit(now);
     this.#limit = Math.min(this.#max, Math.max(this.#min, next));
     this.#wasFull = false;
     this.#samples = 0;
   }
 
-  #computeNext(now: number): number {
-    if (this.#cacheUsed >= CACHE_OVERFULL) return this.#limit * DECREASE;
-    // Without a new sample the last change has not been felt yet.
+  #computeNextLimit(now: number): number {
+    if (this.#cacheUsed >= MAX_CACHE_USED) return this.#limit * DECREASE_FACTOR;
+    // Without a new sample the effect of the last change is not visible yet.
     const ratio = this.#findWorstRatio(now);
     if (this.#samples === 0 || ratio === undefined) return this.#limit;
-    if (ratio > TOO_SLOW) return this.#limit * DECREASE;
-    const mayGrow = this.#wasFull && ratio < COMFORTABLE &&
-      this.#cacheUsed < CACHE_FULL && this.#engineWaiting === 0;
-    return mayGrow ? this.#limit + 1 : this.#limit;
+    if (ratio > SHRINK_ABOVE_RATIO) return this.#limit * DECREASE_FACTOR;
+    const canGrow = this.#wasFull && ratio < GROW_BELOW_RATIO &&
+      this.#cacheUsed < GROW_BELOW_CACHE && this.#engineWaiting === 0;
+    return canGrow ? this.#limit + 1 : this.#limit;
   }
 
-  /** The class that is worst off decides: a mean would hide its misses. */
+  /** Returns the highest ratio of any class; a mean would hide its misses. */
   #findWorstRatio(now: number): number | undefined {
     let worst: number | undefined;
     for (const track of this.#ratios.values()) {
-      if (now - track.at > RATIO_LIFE_MS) continue;
+      if (now - track.at > RATIO_TTL_MS) continue;
       if (worst === undefined || track.ratio > worst) worst = track.ratio;
     }
     return worst;
--- a/src/process/scheduler/slot_wait.ts
+++ b/src/process/scheduler/slot_wait.ts
@@ -1,5 +1,6 @@
 /**
- * One request's way to a slot, and the refusals that may end it.
+ * The state of a request that waits for a slot, and the refusals that can end
+ * the wait.
  *
  * @module
  */
@@ -13,13 +14,12 @@
 const NO_UPSTREAM_RETRY_MS = 5_000;
 const UNREACHABLE_RETRY_MS = 1_000;
 
-/** How a wait is given up, and who hears of its steps. */
 export interface AcquireOptions {
   signal: AbortSignal;
   onStep: (step: RequestStep) => void;
 }
 
-/** One request on its way to a slot. */
+/** State of one request that waits for a slot. */
 export interface SlotWait {
   request: LeaseRequest;
   options: AcquireOptions;
@@ -27,45 +27,45 @@
   pool: UpstreamPool;
   rank: number;
   shard: ShardId;
-  hops: number;
-  /** `queued` answers so far. */
+  forwardCount: number;
+  /** Number of `queued` answers so far. */
   queuedCount: number;
-  /** Since when no owner has answered. */
-  silentSince: number | undefined;
+  /** Start of the first call without an answer since the last answer. */
+  unreachableSince: number | undefined;
 }
 
-/** What the wait asks of this VM's own share. */
-export function buildLocalWish(wait: SlotWait): LocalRequirements {
+/** Builds the requirements for a slot of the local share. */
+export function buildLocalRequirements(wait: SlotWait): LocalRequirements {
   const { shard, pool, rank, request } = wait;
   return { shard, pool, rank, avoid: request.avoid };
 }
 
-/** The refusal where the request's pool has nothing that may get it. */
-export function buildNoUpstream(request: LeaseRequest): Refusal {
+/** Builds the refusal of a request that no upstream of its pool may serve. */
+export function buildNoUpstreamRefusal(request: LeaseRequest): Refusal {
   return {
     code: "no_upstream",
-    message: `No upstream of pool ${request.pool} may get the request`,
+    message: `Pool ${request.pool} has no upstream available for the request`,
     outcome: "not_run",
     retryAfterMs: NO_UPSTREAM_RETRY_MS,
   };
 }
 
-/** The refusal where neither the owner nor this VM's own share helps. */
-export function buildUnreachable(): Refusal {
+/** Builds the refusal for an unreachable owner and an exhausted local share. */
+export function buildUnreachableRefusal(): Refusal {
   return {
     code: "owner_unreachable",
-    message: "The owner of the queue does not answer, and this VM's own " +
+    message: "The owner of the queue does not answer, and this VM's local " +
       "share of the slots is used up",
     outcome: "not_run",
     retryAfterMs: UNREACHABLE_RETRY_MS,
   };
 }
 
-/** The refusal of a request whose caller no longer waits. */
-export function buildCancelled(): Refusal {
+/** Builds the refusal of a request whose caller disconnected. */
+export function buildCancelledRefusal(): Refusal {
   return {
     code: "cancelled",
-    message: "The caller went away while the request waited",
+    message: "The caller disconnected while the request was queued",
     outcome: "not_run",
   };
 }
--- a/src/process/scheduler/ticket_calls.ts
+++ b/src/process/scheduler/ticket_calls.ts
@@ -1,5 +1,6 @@
 /**
- * The calls of waiting tickets: held for a while, answered, called again.
+ * Long polling of waiting tickets: each call is held until it is answered or
+ * its hold time ends, and then repeated by the caller.
  *
  * @module
  */
@@ -10,22 +11,21 @@
 import type { Waiter } from "./waiter.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-/** How long a ticket may stay away between two calls, in milliseconds. */
+/** Maximum time between two calls of a ticket, in milliseconds. */
 const TICKET_TTL_MS = 2_000;
 
-/** What the calls need of their owner. */
 export interface TicketCallsOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
   waits: WaitEstimator;
-  verdicts: PendingRefusals;
+  refusals: PendingRefusals;
 }
 
-/** Answers the calls of one shard's tickets. */
+/** Holds and answers the calls of one shard's tickets. */
 export class TicketCalls {
   readonly #options: TicketCallsOptions;
-  /** Tickets between two calls. */
-  readonly #uncalled = new Set<Waiter>();
+  /** Waiters that have no call held at present. */
+  readonly #unpolled = new Set<Waiter>();
 
   constructor(options: TicketCallsOptions) {
     this.#options = options;
@@ -35,12 +35,14 @@
     return new TicketCalls(options);
   }
 
-  /** Holds the waiter's latest call until it is answered or time is up. */
+  /**
+   * Holds the waiter's latest call until it is answered or its hold time ends.
+   */
   wait(waiter: Waiter, now: number): Promise<AcquireAnswer> {
-    // A repeated call answers the one before it: its sender has given it up.
+    // A new call completes the previous one, which its sender has abandoned.
     waiter.answer?.(this.#buildQueued(waiter));
     const holdMs = Math.max(0, waiter.call.holdMs);
-    this.#uncalled.delete(waiter);
+    this.#unpolled.delete(waiter);
     return new Promise((resolve) => {
       const cancel = this.#options.clock.startTimer(holdMs, () => {
         waiter.answer?.(this.#buildQueued(waiter));
@@ -49,7 +51,7 @@
         cancel();
         waiter.answer = undefined;
         if (answer.kind === "queued") {
-          this.addUncalled(waiter, this.#options.clock.now());
+          this.addUnpolled(waiter, this.#options.clock.now());
         }
         resolve(answer);
       };
@@ -57,48 +59,55 @@
     });
   }
 
-  /** Notes that the waiter's next call is still to come. */
-  addUncalled(waiter: Waiter, now: number): void {
+  /** Adds a waiter whose next call has not arrived yet. */
+  addUnpolled(waiter: Waiter, now: number): void {
     waiter.renewBy = now + TICKET_TTL_MS;
-    this.#uncalled.add(waiter);
+    this.#unpolled.add(waiter);
   }
 
-  /** Tells a waiter that it has a slot; between calls the next one tells. */
+  /**
+   * Answers the waiter's held call with its lease. If no call is held, the next
+   * one finds the lease in the ledger.
+   */
   grant(waiter: Waiter, lease: SlotLease): void {
-    this.#uncalled.delete(waiter);
+    this.#unpolled.delete(waiter);
     waiter.answer?.({ kind: "granted", lease });
   }
 
-  /** Takes a waiter out with its last answer, now or at its next call. */
+  /** Removes a waiter and sends its final answer now or at its next call. */
   settle(waiter: Waiter, answer: AcquireAnswer): void {
     this.#drop(waiter);
     if (waiter.answer !== undefined) waiter.answer(answer);
-    else this.#options.verdicts.put(waiter.ticket, answer);
+    else this.#options.refusals.put(waiter.ticket, answer);
   }
 
   /**
-   * Takes out tickets whose calls no longer come. Their VM is gone, and a slot
-   * granted to them would stay unused until its lease ran out.
+   * Removes tickets whose next call did not arrive in time. Their VM has
+   * probably failed, and a slot granted to them would stay unused until its
+   * lease expires.
    */
-  dropGone(now: number): void {
-    for (const waiter of this.#uncalled) {
+  dropAbandoned(now: number): void {
+    for (const waiter of this.#unpolled) {
       if (waiter.renewBy <= now) this.#drop(waiter);
     }
   }
 
-  /** Gives every ticket its whole time anew, after a pause. */
+  /** Restarts the time to live of every ticket after a pause. */
   renewAll(now: number): void {
-    for (const waiter of this.#uncalled) {
+    for (const waiter of this.#unpolled) {
       waiter.renewBy = now + TICKET_TTL_MS;
     }
   }
 
   #drop(waiter: Waiter): void {
     this.#options.queue.remove(waiter, this.#options.clock.now());
-    this.#uncalled.delete(waiter);
+    this.#unpolled.delete(waiter);
   }
 
   #buildQueued(waiter: Waiter): AcquireAnswer {
-    return { kind: "queued", ...this.#options.waits.buildPlace(waiter) };
+    return {
+      kind: "queued",
+      ...this.#options.waits.buildQueuePosition(waiter),
+    };
   }
 }
--- a/src/process/scheduler/wait_estimator.ts
+++ b/src/process/scheduler/wait_estimator.ts
@@ -1,5 +1,5 @@
 /**
- * How long requests of a shard will wait, from what holds its slots now.
+ * Estimates the queueing time of requests in a shard from its current load.
  *
  * @module
  */
@@ -17,7 +17,6 @@
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
-/** What the waits of a shard are worked out from. */
 export interface WaitEstimatorOptions {
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
@@ -27,7 +26,7 @@
   getSnapshot: () => Snapshot | undefined;
 }
 
-/** Expected waits in one shard, in milliseconds. */
+/** Estimates waits in one shard, in milliseconds. */
 export class WaitEstimator {
   readonly #options: WaitEstimatorOptions;
 
@@ -39,26 +38,29 @@
     return new WaitEstimator(options);
   }
 
-  /** When a new request of the class could be served within its targets. */
-  computeLateRetry(waiter: Waiter): number {
+  /**
+   * Time after which a new request of the waiter's class is expected to meet
+   * its targets.
+   */
+  computeRetryAfter(waiter: Waiter): number {
     const slack = waiter.startBy - waiter.arrivedAt;
     return Math.max(0, this.computeWait(waiter) - Math.max(0, slack));
   }
 
-  /** Mean time between two grants to the waiter's tier. */
+  /** Mean time between grants to the waiter's tier. */
   computeGrantInterval(waiter: Waiter): number {
     return waiter.slotMs / computeUsableSlots(this.#buildLoad(waiter.rank));
   }
 
-  /** The expected wait of `waiter`, in milliseconds. */
+  /** Expected wait of `waiter`. */
   computeWait(waiter: Waiter): number {
     return computeExpectedWait(
-      buildWaitQuestion(waiter),
+      buildWaitQuery(waiter),
       this.#buildLoad(waiter.rank),
     );
   }
 
-  /** The expected wait of a new request of the lowest tier. */
+  /** Expected wait of a new request of the lowest tier. */
   computeLowestWait(): number {
     const { queue, factory, replicas } = this.#options;
     if (replicas.freeSlots > 0 && queue.size === 0) return 0;
@@ -69,8 +71,11 @@
     );
   }
 
-  /** Where a waiter stands: how many go before it, and who they are. */
-  buildPlace(
+  /**
+   * Builds the waiter's position in the queue: the number of requests ahead,
+   * by class, and the expected wait.
+   */
+  buildQueuePosition(
     waiter: Waiter,
   ): { ahead: number; behind: string; expectedMs: number } {
     let ahead = 0;
@@ -90,11 +95,11 @@
     };
   }
 
-  /** The slots that the waiter's tier may hold at once; at least one. */
+  /** Maximum number of slots that the waiter's tier may use; at least one. */
   getTierCap(waiter: { rank: number }): number {
-    const { replicas, features: decisions } = this.#options;
+    const { replicas, features } = this.#options;
     const slots = replicas.slots;
-    if (!decisions.crowding) return slots;
+    if (!features.crowding) return slots;
     return Math.max(1, Math.floor(this.#getSlotShare(waiter.rank) * slots));
   }
 
@@ -117,7 +122,7 @@
   }
 }
 
-function buildWaitQuestion(waiter: Waiter): WaitQuery {
+function buildWaitQuery(waiter: Waiter): WaitQuery {
   return {
     rank: waiter.rank,
     className: waiter.className,
--- a/src/process/scheduler/waiter.ts
+++ b/src/process/scheduler/waiter.ts
@@ -1,5 +1,5 @@
 /**
- * One request that waits in a shard's queue.
+ * A request that waits in a shard's queue.
  *
  * @module
  */
@@ -7,46 +7,51 @@
 import type { RequestClass } from "../../version/records.ts";
 import type { AcquireAnswer, AcquireCall } from "../peer_api.ts";
 
-/** What the queue orders by; times are the owner's monotonic clock. */
+/** A queued request; times are milliseconds of the owner's monotonic clock. */
 export interface QueueEntry {
   readonly ticket: TicketId;
   readonly className: ClassName;
   readonly workspace: WorkspaceName;
-  /** Requests that need the same model stand in one lane. */
+  /** Name of the model that the request needs; empty if it needs none. */
   readonly modelKey: string;
+  /** Rank of the tier; lower ranks are served first. */
   readonly rank: number;
   readonly requestClass: RequestClass;
-  /** The workspace's weight against others of the class. */
+  /** Weight of the workspace relative to others in the class. */
   readonly weight: number;
   readonly arrivedAt: number;
-  /** Counts entries: breaks ties by order of coming. */
+  /** Arrival number; breaks ties. */
   readonly sequence: number;
-  /** Granted later than this, it misses a target. */
+  /** Latest grant that still meets the targets. */
   readonly startBy: number;
-  /** Past this an answer is useless; infinite where late is useful. */
+  /**
+   * When the entry is dropped because its answer would be useless. Infinite if
+   * late answers are useful or a stream is resumed.
+   */
   readonly dropAt: number;
-  /** A broken or preempted stream that is to be resumed. */
+  /** Whether it resumes a broken or preempted stream. */
   readonly isResumed: boolean;
   /** Expected tokens, the unit of fair sharing. */
   readonly cost: number;
-  /** Whether `cost` rests on finished requests and not on a cap. */
+  /** Whether `cost` is learnt from finished requests rather than a cap. */
   readonly isCostLearnt: boolean;
-  /** Expected time in a slot. */
+  /** Expected time in a slot, in milliseconds. */
   readonly slotMs: number;
 }
 
-/** An entry with the call that is to be answered. */
+/** A queue entry with its pending acquire call. */
 export interface Waiter extends QueueEntry {
-  /** The latest call of the ticket. */
+  /** The ticket's latest call. */
   call: AcquireCall;
   readonly deadlineAt: number;
+  /** Whether its slot time is far above that of the shortest class. */
   readonly isLong: boolean;
-  /** It is granted before a higher tier that waits. */
+  /** Whether it is granted ahead of a waiting higher tier. */
   isPromoted: boolean;
-  /** Since when no upstream serves it; undefined while one does. */
+  /** Since when no upstream can serve it; undefined while one can. */
   unservedSince: number | undefined;
-  /** The waiter leaves the queue unless its call comes again by then. */
+  /** The waiter is dropped unless its call is repeated by then. */
   renewBy: number;
-  /** Answers the call that is held now; undefined between two calls. */
+  /** Answers the pending long poll; undefined between two calls. */
   answer: ((answer: AcquireAnswer) => void) | undefined;
 }
--- a/src/process/scheduler/waiter_factory.ts
+++ b/src/process/scheduler/waiter_factory.ts
@@ -1,70 +1,75 @@
 /**
- * Makes a queue entry of an acquire call: class, tier and expected times.
+ * Builds queue entries from acquire calls, with class, tier and estimates.
  *
  * @module
  */
 import { type ClassName, toId, type WorkspaceName } from "../../ids.ts";
 import type { RequestClass, Snapshot } from "../../version/records.ts";
 import type { AcquireCall } from "../peer_api.ts";
-import type { LengthGuess, OutputLengths } from "./output_lengths.ts";
-import type { ServiceGuess, ServiceTimes } from "./service_times.ts";
+import type { LengthEstimate, OutputLengths } from "./output_lengths.ts";
+import type { ServiceTimeEstimate, ServiceTimes } from "./service_times.ts";
 import type { Waiter } from "./waiter.ts";
 
-/** Rank of a class that this VM's configuration does not have yet. */
+/** Rank of a class or tier that this VM's configuration does not have yet. */
 export const UNKNOWN_RANK = 1_000;
-/** Price of reading a prompt token against generating one. */
+/** Cost of prefilling a prompt token relative to generating a token. */
 export const PROMPT_TOKEN_COST = 0.1;
-/** Times the mean slot time of the shortest class that makes it a long one. */
-const LONG_RATIO = 4;
-/** How long a class counts as present after its last request. */
-const CLASS_LIFE_MS = 60_000;
-const MEAN_WEIGHT = 0.05;
-const UNKNOWN_CLASS_WAIT_MS = 60_000;
-const UNKNOWN_CLASS_QUEUE = 64;
-
-/** What the size of a request depends on. */
+/** A request is long above this multiple of the shortest class's slot time. */
+const LONG_REQUEST_RATIO = 4;
+/** How long a class's slot time is used after its last request. */
+const CLASS_TTL_MS = 60_000;
+/** Weight of a new sample in the moving averages. */
+const SAMPLE_WEIGHT = 0.05;
+const UNKNOWN_CLASS_MAX_WAIT_MS = 60_000;
+const UNKNOWN_CLASS_QUEUE_LIMIT = 64;
+
+/** The members of a call that its size estimate depends on. */
 export interface SizedCall {
   className: ClassName;
   workspace: WorkspaceName;
   model: string | undefined;
   maxTokens: number;
+  /** Tokens that were generated before the stream broke or was preempted. */
   doneTokens: number;
 }
 
-/** The expected size of a request. */
-export interface SizeGuess {
-  length: LengthGuess;
-  service: ServiceGuess;
-  /** Whether a refusal may rest on it. */
+/** Expected output length and service time of a request. */
+export interface SizeEstimate {
+  length: LengthEstimate;
+  service: ServiceTimeEstimate;
+  /** Whether it is reliable enough to refuse a request on. */
   learnt: boolean;
 }
 
-/** Builds waiters and guesses their size. */
+/** Builds waiters and estimates their size. */
 export class WaiterFactory {
   readonly #getSnapshot: () => Snapshot | undefined;
   readonly #lengths: OutputLengths;
-  readonly #speed: ServiceTimes;
-  #order = 0;
+  readonly #serviceTimes: ServiceTimes;
+  #nextSequence = 0;
   #meanSlotMs: number | undefined;
-  readonly #classes = new Map<ClassName, { slotMs: number; at: number }>();
+  readonly #slotTimesByClass = new Map<
+    ClassName,
+    { slotMs: number; at: number }
+  >();
 
   constructor(
     getSnapshot: () => Snapshot | undefined,
-    learnt: { lengths: OutputLengths; speed: ServiceTimes },
+    learnt: { lengths: OutputLengths; serviceTimes: ServiceTimes },
   ) {
     this.#getSnapshot = getSnapshot;
     this.#lengths = learnt.lengths;
-    this.#speed = learnt.speed;
+    this.#serviceTimes = learnt.serviceTimes;
   }
 
   static create(
     getSnapshot: () => Snapshot | undefined,
-    learnt: { lengths: OutputLengths; speed: ServiceTimes },
+    learnt: { lengths: OutputLengths; serviceTimes: ServiceTimes },
   ): WaiterFactory {
     return new WaiterFactory(getSnapshot, learnt);
   }
 
-  /** Mean expected time in a slot over the requests that came. */
+  /** Moving average of the requests' expected slot time, in milliseconds. */
   get meanSlotMs(): number {
     return this.#meanSlotMs ?? 1_000;
   }
@@ -83,20 +88,20 @@
     return weight === undefined || weight <= 0 ? 1 : weight;
   }
 
-  /** The expected length and time of a request. */
+  /** Estimates the output length and service time of a request. */
   computeSize(
     call: SizedCall,
     options: { requestClass: RequestClass; now: number },
-  ): SizeGuess {
+  ): SizeEstimate {
     const { requestClass, now } = options;
-    const length = this.#lengths.computeGuess({
+    const length = this.#lengths.computeEstimate({
       requestClass,
       workspace: call.workspace,
       maxTokens: call.maxTokens,
       doneTokens: call.doneTokens,
     });
     const hasTokens = call.model !== undefined;
-    const service = this.#speed.computeGuess(requestClass, {
+    const service = this.#serviceTimes.computeEstimate(requestClass, {
       tokens: Math.max(1, length.tokens - call.doneTokens),
       hasTokens,
       now,
@@ -113,9 +118,9 @@
     const slotMs = Math.max(1, size.service.totalMs);
     const startBy = computeStartBy(call, { requestClass, size, now });
     this.#noteSlotMs(call.className, { slotMs, now });
-    // The caller of a started stream has a part of its answer: giving up would
-    // waste that part, so it waits however late it is.
-    const wasStarted = call.doneTokens > 0;
+    // The caller of a resumed stream already has part of the answer. Dropping
+    // the request would waste that part, so it waits without a time limit.
+    const isResumed = call.doneTokens > 0;
     return {
       ticket: call.ticket,
       className: call.className,
@@ -125,18 +130,18 @@
       requestClass,
       weight: this.getWeight(call.workspace),
       arrivedAt,
-      sequence: this.#order++,
+      sequence: this.#nextSequence++,
       startBy,
-      dropAt: wasStarted || requestClass.lateIsUseful
+      dropAt: isResumed || requestClass.lateIsUseful
         ? Infinity
-        : computeGiveUp(call, { requestClass, size, now, startBy }),
-      isResumed: wasStarted,
+        : computeDropAt(call, { requestClass, size, now, startBy }),
+      isResumed,
       cost: computeCost(call, size),
       isCostLearnt: size.length.learnt || call.model === undefined,
       slotMs,
       call,
       deadlineAt,
-      isLong: slotMs > LONG_RATIO * this.#findShortest(now),
+      isLong: slotMs > LONG_REQUEST_RATIO * this.#findShortestSlotMs(now),
       isPromoted: false,
       unservedSince: undefined,
       renewBy: 0,
@@ -149,77 +154,79 @@
     sample: { slotMs: number; now: number },
   ): void {
     const { slotMs, now } = sample;
-    this.#meanSlotMs = mergeSample(this.#meanSlotMs, slotMs);
-    const known = this.#classes.get(className);
-    this.#classes.set(className, {
-      slotMs: mergeSample(known?.slotMs, slotMs),
+    this.#meanSlotMs = updateMean(this.#meanSlotMs, slotMs);
+    const previous = this.#slotTimesByClass.get(className);
+    this.#slotTimesByClass.set(className, {
+      slotMs: updateMean(previous?.slotMs, slotMs),
       at: now,
     });
   }
 
   /**
-   * The mean slot time of the class with the shortest requests. A mean over
-   * all would rise with a burst of long ones, until none of them counted as
-   * long any more.
+   * Returns the mean slot time of the class with the shortest requests. A mean
+   * over all classes would rise with a burst of long requests until none of
+   * them counted as long.
    */
-  #findShortest(now: number): number {
+  #findShortestSlotMs(now: number): number {
     let shortest = Infinity;
-    for (const { slotMs, at } of this.#classes.values()) {
-      if (now - at <= CLASS_LIFE_MS) shortest = Math.min(shortest, slotMs);
+    for (const { slotMs, at } of this.#slotTimesByClass.values()) {
+      if (now - at <= CLASS_TTL_MS) shortest = Math.min(shortest, slotMs);
     }
     return shortest;
   }
 }
 
-function mergeSample(mean: number | undefined, sample: number): number {
-  return mean === undefined ? sample : mean + MEAN_WEIGHT * (sample - mean);
+function updateMean(mean: number | undefined, sample: number): number {
+  return mean === undefined ? sample : mean + SAMPLE_WEIGHT * (sample - mean);
 }
 
 /**
- * The latest start that meets both the first-token target and the total one.
- * A resumed stream has had its first token; its caller waits for the next one
- * as long as for a first one.
+ * Returns the latest start that meets both the first-token and the total
+ * target. A resumed stream has had its first token; the first-token target then
+ * applies to the next token, counted from now.
  */
 function computeStartBy(
   call: AcquireCall,
-  options: { requestClass: RequestClass; size: SizeGuess; now: number },
+  options: { requestClass: RequestClass; size: SizeEstimate; now: number },
 ): number {
   const { requestClass, size, now } = options;
-  const since = call.doneTokens > 0 ? now : now - call.ageMs;
-  const firstToken = since + requestClass.targets.firstTokenMs -
+  const countedFrom = call.doneTokens > 0 ? now : now - call.ageMs;
+  const forFirstToken = countedFrom + requestClass.targets.firstTokenMs -
     size.service.firstTokenMs;
-  const whole = now + call.deadlineInMs - size.service.totalMs;
-  return Math.min(firstToken, whole);
+  const forTotal = now + call.deadlineInMs - size.service.totalMs;
+  return Math.min(forFirstToken, forTotal);
 }
 
 /**
- * Past this an answer misses a target and is useless. Guesses that are not
- * learnt yet do not count: they would refuse work that might be in time.
+ * Returns the time from which an answer misses a target and is useless. Uses
+ * the targets alone while the estimates are not learnt: they could drop
+ * requests that would still be in time.
  */
-function computeGiveUp(
+function computeDropAt(
   call: AcquireCall,
   options: {
     requestClass: RequestClass;
-    size: SizeGuess;
+    size: SizeEstimate;
     now: number;
     startBy: number;
   },
 ): number {
   const { requestClass, size, now, startBy } = options;
   if (size.learnt) return startBy;
-  const firstToken = now - call.ageMs + requestClass.targets.firstTokenMs;
-  return Math.min(firstToken, now + call.deadlineInMs);
+  const forFirstToken = now - call.ageMs + requestClass.targets.firstTokenMs;
+  return Math.min(forFirstToken, now + call.deadlineInMs);
 }
 
-function computeCost(call: AcquireCall, size: SizeGuess): number {
+function computeCost(call: AcquireCall, size: SizeEstimate): number {
   if (call.model === undefined) return 1;
   const tokens = Math.max(1, size.length.tokens - call.doneTokens);
   return tokens + PROMPT_TOKEN_COST * call.promptTokens;
 }
 
 /**
- * A class that is newer than this VM's configuration. The request was admitted
- * by a VM that has it, so it waits below all known tiers instead of failing.
+ * Builds a stand-in for a class that is newer than this VM's configuration. A
+ * VM that has the class admitted the request, so instead of failing it waits
+ * below all known tiers.
  */
 function buildUnknownClass(call: AcquireCall): RequestClass {
   return {
@@ -234,8 +241,8 @@
     lateIsUseful: true,
     idempotent: call.idempotent,
     minShare: 0,
-    maxWaitMs: UNKNOWN_CLASS_WAIT_MS,
-    queueLimit: UNKNOWN_CLASS_QUEUE,
+    maxWaitMs: UNKNOWN_CLASS_MAX_WAIT_MS,
+    queueLimit: UNKNOWN_CLASS_QUEUE_LIMIT,
     maxOutputTokens: call.maxTokens,
     objective: 0,
   };
--- a/src/process/scheduler/waiting_queue.ts
+++ b/src/process/scheduler/waiting_queue.ts
@@ -1,9 +1,9 @@
 /**
- * A shard's one queue for all tiers.
+ * The queue of one shard, for all tiers.
  *
- * Order at granting: first a class whose head is due or which is owed its
- * minimum share; then strictly by tier; within a tier by earliest feasible
- * start; between the workspaces of a class by tokens served.
+ * Grant order: classes whose head is due or that have credit for their minimum
+ * share; then strict tier priority; within a tier the earliest feasible start;
+ * between the workspaces of a class fair queueing by tokens served.
  *
  * @module
  */
@@ -16,29 +16,30 @@
 import { chooseShedVictim, findLatest } from "./shed_victim.ts";
 import type { QueueEntry } from "./waiter.ts";
 
-/** Classes that go before their tier's turn, the first due first. */
+/** A class that is granted ahead of its tier. */
 interface Promoted<T extends QueueEntry> {
   queue: ClassQueue<T>;
+  /** When its head became due; infinite if it only has credit. */
   dueAt: number;
 }
 
 interface Candidate<T extends QueueEntry> {
-  lane: FairQueue<T>;
+  queue: FairQueue<T>;
   rank: number;
   key: HeadKey;
 }
 
-/** Which entries may be granted now. */
+/** Restricts which entries may be granted now. */
 export interface GrantFilter<T extends QueueEntry> {
-  /** Whether the tier of `rank` may hold one more slot. */
-  isOpen: (rank: number) => boolean;
-  /** Whether one more class may go before a higher tier. */
+  /** Whether the tier of `rank` is below its slot cap. */
+  isTierOpen: (rank: number) => boolean;
+  /** Whether one more entry may be granted ahead of a higher tier. */
   canPromote: () => boolean;
-  /** Whether there is a free slot that suits `entry`. */
+  /** Whether a free slot meets the requirements of `entry`. */
   accepts: (entry: T) => boolean;
 }
 
-/** What tells whose share a request counts against. */
+/** The members of an entry that identify the share it is charged to. */
 export type ServedEntry = Pick<
   QueueEntry,
   "className" | "rank" | "workspace" | "weight" | "modelKey"
@@ -47,34 +48,34 @@
 /** The entry to grant next. */
 export interface NextGrant<T extends QueueEntry> {
   entry: T;
-  /** It goes before a higher tier that waits. */
+  /** Whether it is granted ahead of a higher tier that has entries waiting. */
   isPromoted: boolean;
 }
 
-/** All requests that wait in one shard. */
+/** All waiting requests of one shard. */
 export class WaitingQueue<T extends QueueEntry> {
-  readonly #decisions: SchedulerFeatures;
+  readonly #features: SchedulerFeatures;
   readonly #entries = new Map<TicketId, T>();
   readonly #classes = new Map<string, ClassQueue<T>>();
-  readonly #byGiveUp = Heap.create<T>((left, right) =>
+  readonly #byDropAt = Heap.create<T>((left, right) =>
     left.dropAt < right.dropAt
   );
 
-  constructor(decisions: SchedulerFeatures) {
-    this.#decisions = decisions;
+  constructor(features: SchedulerFeatures) {
+    this.#features = features;
   }
 
   static create<T extends QueueEntry>(
-    decisions: SchedulerFeatures,
+    features: SchedulerFeatures,
   ): WaitingQueue<T> {
-    return new WaitingQueue(decisions);
+    return new WaitingQueue(features);
   }
 
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Entries beside the first of each class, which takes no bounded place. */
+  /** Entries that count against the queue bound: all but each class's head. */
   get boundedSize(): number {
     let heads = 0;
     for (const queue of this.#classes.values()) if (queue.size > 0) heads++;
@@ -101,55 +102,59 @@
     const key = buildClassKey(entry);
     let queue = this.#classes.get(key);
     if (queue === undefined) {
-      queue = ClassQueue.create(entry, this.#decisions);
+      queue = ClassQueue.create(entry, this.#features);
       this.#classes.set(key, queue);
     }
     queue.add(entry, now);
     this.#entries.set(entry.ticket, entry);
-    if (Number.isFinite(entry.dropAt)) this.#byGiveUp.push(entry);
+    if (Number.isFinite(entry.dropAt)) this.#byDropAt.push(entry);
   }
 
   remove(entry: T, now: number): void {
     if (this.#entries.get(entry.ticket) !== entry) return;
     this.#entries.delete(entry.ticket);
-    this.#byGiveUp.remove(entry);
+    this.#byDropAt.remove(entry);
     this.#classes.get(buildClassKey(entry))?.remove(entry, now);
   }
 
-  /** The entry to grant next among those that `filter` takes. */
+  /** Returns the entry to grant next among those that `filter` allows. */
   findNext(now: number, filter: GrantFilter<T>): NextGrant<T> | undefined {
     return this.#findPromoted(now, filter) ?? this.#findInOrder(now, filter);
   }
 
-  /** The entry that goes first by tier alone, whatever is owed to others. */
+  /** Returns the first entry by tier alone, regardless of promoted classes. */
   findFirstByTier(now: number): T | undefined {
     const first = this.#listCandidates(now)[0];
-    return first?.lane.findFirst(now, () => true);
+    return first?.queue.findFirst(now, () => true);
   }
 
-  /** Takes out a granted entry; gives what its workspace was charged. */
+  /** Removes a granted entry and returns the cost charged to its workspace. */
   takeGranted(entry: T, now: number): number {
     const queue = this.#classes.get(buildClassKey(entry));
-    const charge = this.#findLane(entry)?.computeCharge(entry) ?? entry.cost;
+    const charge = this.#findModelQueue(entry)?.computeCharge(entry) ??
+      entry.cost;
     this.remove(entry, now);
     queue?.settleGrant(entry);
     this.noteServed(entry, charge);
     return charge;
   }
 
-  /** Counts `tokens` as served to the workspace of `entry`. */
+  /** Charges `tokens` to the workspace of `entry`. */
   noteServed(entry: ServedEntry, tokens: number): void {
     const { workspace, weight } = entry;
-    this.#findLane(entry)?.noteServed(workspace, { tokens, weight });
+    this.#findModelQueue(entry)?.noteServed(workspace, { tokens, weight });
   }
 
-  /** Takes in what a finished request of the kind of `entry` cost. */
+  /** Records the actual cost of a finished request like `entry`. */
   noteFinished(entry: ServedEntry, tokens: number): void {
-    this.#findLane(entry)?.noteFinished({ tokens, weight: entry.weight });
+    this.#findModelQueue(entry)?.noteFinished({ tokens, weight: entry.weight });
   }
 
-  /** Adds each class's minimum share; shares above 1 in sum are scaled. */
-  addShare(now: number, slots: number): void {
+  /**
+   * Credits each waiting class with its minimum share. Shares that add up to
+   * more than 1 are scaled down.
+   */
+  addCredit(now: number, slots: number): void {
     let sum = 0;
     for (const queue of this.#classes.values()) {
       if (queue.size > 0) sum += queue.requestClass.minShare;
@@ -157,23 +162,23 @@
     const scale = 1 / Math.max(1, sum);
     for (const queue of this.#classes.values()) {
       const minShare = queue.requestClass.minShare * scale;
-      queue.addShare(now, { minShare, slots });
+      queue.addCredit(now, { minShare, slots });
     }
   }
 
-  /** Removes the entries whose answer would now be useless. */
+  /** Removes and returns the entries whose answer would now be useless. */
   takeExpired(now: number): T[] {
-    const hopeless: T[] = [];
-    let first = this.#byGiveUp.getFirst();
+    const expired: T[] = [];
+    let first = this.#byDropAt.getFirst();
     while (first !== undefined && first.dropAt <= now) {
       this.remove(first, now);
-      hopeless.push(first);
-      first = this.#byGiveUp.getFirst();
+      expired.push(first);
+      first = this.#byDropAt.getFirst();
     }
-    return hopeless;
+    return expired;
   }
 
-  /** The largest rank that waits; undefined when nothing waits. */
+  /** Returns the largest waiting rank, or undefined if nothing waits. */
   findLowestRank(): number | undefined {
     let lowest: number | undefined;
     for (const queue of this.#classes.values()) {
@@ -183,7 +188,7 @@
     return lowest;
   }
 
-  /** Requests waiting, by rank. */
+  /** Counts the waiting requests by rank. */
   countByRank(): Record<number, number> {
     const counts: Record<number, number> = {};
     for (const queue of this.#classes.values()) {
@@ -194,12 +199,12 @@
   }
 
   /**
-   * The entry to shed: of the lowest tier present, the one that came last,
-   * of the workspace with the most waiting. The head of a class goes only
-   * when its tier has nothing else.
+   * Returns the entry to shed: the latest one in the lowest waiting tier, of
+   * the workspace with the largest backlog. The head of a class is shed only
+   * if its tier has no other entry.
    */
   findShedVictim(): T | undefined {
-    const isTierBound = this.#decisions.tiers;
+    const isTierBound = this.#features.tiers;
     const lowest = this.findLowestRank();
     const candidates = [...this.#classes.values()].filter((queue) =>
       queue.size > 0 && (!isTierBound || queue.rank === lowest)
@@ -207,35 +212,36 @@
     return chooseShedVictim(candidates);
   }
 
-  /** The last entry of `workspace` in the class of `entry`. */
+  /** Returns the latest entry of `workspace` in the class of `entry`. */
   findLatestOf(entry: QueueEntry, workspace: WorkspaceName): T | undefined {
     const queue = this.#classes.get(buildClassKey(entry));
     return queue && findLatest(queue, workspace);
   }
 
+  /** Drops classes without entries whose workspaces have no debt. */
   dropIdle(): void {
     for (const [key, queue] of this.#classes) {
       queue.dropIdle();
-      if (queue.size === 0 && !this.#isRemembered(queue)) {
+      if (queue.size === 0 && !this.#hasDebt(queue)) {
         this.#classes.delete(key);
       }
     }
   }
 
-  #findLane(entry: ServedEntry): FairQueue<T> | undefined {
-    return this.#classes.get(buildClassKey(entry))?.lanes.get(entry.modelKey);
+  #findModelQueue(entry: ServedEntry): FairQueue<T> | undefined {
+    return this.#classes.get(buildClassKey(entry))?.byModel.get(entry.modelKey);
   }
 
   #findPromoted(
     now: number,
     filter: GrantFilter<T>,
   ): NextGrant<T> | undefined {
-    if (!this.#decisions.progress) return undefined;
+    if (!this.#features.progress) return undefined;
     const highest = this.#findHighestRank();
     for (const { queue } of this.#listPromoted(now)) {
       const isPromoted = queue.rank > highest;
       if (isPromoted && !filter.canPromote()) continue;
-      if (!filter.isOpen(queue.rank)) continue;
+      if (!filter.isTierOpen(queue.rank)) continue;
       const entry = queue.findOldest(filter.accepts);
       if (entry !== undefined) return { entry, isPromoted };
     }
@@ -247,8 +253,8 @@
     filter: GrantFilter<T>,
   ): NextGrant<T> | undefined {
     for (const candidate of this.#listCandidates(now)) {
-      if (!filter.isOpen(candidate.rank)) continue;
-      const entry = candidate.lane.findFirst(now, filter.accepts);
+      if (!filter.isTierOpen(candidate.rank)) continue;
+      const entry = candidate.queue.findFirst(now, filter.accepts);
       if (entry !== undefined) return { entry, isPromoted: false };
     }
     return undefined;
@@ -262,8 +268,8 @@
     return highest;
   }
 
-  #isRemembered(queue: ClassQueue<T>): boolean {
-    for (const lane of queue.lanes.values()) if (lane.hasDebt()) return true;
+  #hasDebt(queue: ClassQueue<T>): boolean {
+    for (const one of queue.byModel.values()) if (one.hasDebt()) return true;
     return false;
   }
 
@@ -273,7 +279,7 @@
       if (queue.size === 0) continue;
       const dueAt = queue.getDueAt();
       if (dueAt <= now) promoted.push({ queue, dueAt });
-      else if (queue.isOwed()) promoted.push({ queue, dueAt: Infinity });
+      else if (queue.hasCredit()) promoted.push({ queue, dueAt: Infinity });
     }
     return promoted.sort(comparePromoted);
   }
@@ -282,13 +288,13 @@
     const candidates: Candidate<T>[] = [];
     for (const queue of this.#classes.values()) {
       if (queue.size === 0) continue;
-      for (const lane of queue.lanes.values()) {
-        const key = lane.findKey(now);
+      for (const modelQueue of queue.byModel.values()) {
+        const key = modelQueue.findHeadKey(now);
         if (key === undefined) continue;
-        candidates.push({ lane, rank: queue.rank, key });
+        candidates.push({ queue: modelQueue, rank: queue.rank, key });
       }
     }
-    const isStrict = this.#decisions.tiers;
+    const isStrict = this.#features.tiers;
     return candidates.sort((left, right) =>
       (isStrict ? left.rank - right.rank : 0) ||
       compareHeads(left.key, right.key)
@@ -296,7 +302,7 @@
   }
 }
 
-/** Due heads first, by when they became due; then by tier. */
+/** Orders due heads first, by when they became due, then by tier. */
 function comparePromoted<T extends QueueEntry>(
   left: Promoted<T>,
   right: Promoted<T>,
--- a/src/process/scheduler/workspace_flow.ts
+++ b/src/process/scheduler/workspace_flow.ts
@@ -1,5 +1,5 @@
 /**
- * One workspace's requests in the order of a class.
+ * The requests of one workspace in a fair queue (a flow).
  *
  * @module
  */
@@ -7,32 +7,32 @@
 import { Heap } from "./heap.ts";
 import type { QueueEntry } from "./waiter.ts";
 
-/** The requests of one workspace in one order. */
+/** The requests of one workspace in one fair queue. */
 export interface Flow<T extends QueueEntry> {
   workspace: WorkspaceName;
-  /** Tokens served divided by weight. */
+  /** Tokens served, divided by the workspace's weight. */
   served: number;
-  /** Can still meet their targets, the earliest start first. */
+  /** Requests that can still meet their targets, earliest start first. */
   feasible: Heap<T>;
-  /** Cannot any more, the first come first. */
+  /** Requests that can no longer meet their targets, oldest first. */
   late: Heap<T>;
 }
 
-/** Where the head of an order stands against those of other orders. */
+/** Sort key of a flow's head. */
 export interface HeadKey {
   late: boolean;
-  /** The latest start, or the time of arrival of a late one. */
-  at: number;
-  order: number;
+  /** Latest start time, or the arrival time of a late request. */
+  time: number;
+  sequence: number;
 }
 
-/** Compares heads: feasible before late, then the earlier time. */
+/** Compares heads: feasible before late, then by time, then by sequence. */
 export function compareHeads(left: HeadKey, right: HeadKey): number {
   if (left.late !== right.late) return left.late ? 1 : -1;
-  return left.at - right.at || left.order - right.order;
+  return left.time - right.time || left.sequence - right.sequence;
 }
 
-/** An empty flow that counts `served` tokens by weight as served. */
+/** Creates an empty flow that starts at `served` tokens by weight. */
 export function createFlow<T extends QueueEntry>(
   workspace: WorkspaceName,
   served: number,
@@ -40,24 +40,24 @@
   return {
     workspace,
     served,
-    feasible: Heap.create<T>(isStartedSooner),
-    late: Heap.create<T>(isArrivedSooner),
+    feasible: Heap.create<T>(hasEarlierStart),
+    late: Heap.create<T>(hasEarlierArrival),
   };
 }
 
-/** The entry that goes first of the flow; a late one goes last. */
+/** Returns the flow's first entry; late entries come after all others. */
 export function getHead<T extends QueueEntry>(flow: Flow<T>): T | undefined {
   return flow.feasible.getFirst() ?? flow.late.getFirst();
 }
 
-/** The key of the head of a flow that is not empty. */
+/** Returns the sort key of the head; the flow must not be empty. */
 export function buildHeadKey<T extends QueueEntry>(flow: Flow<T>): HeadKey {
   const feasible = flow.feasible.getFirst();
   if (feasible !== undefined) {
-    return { late: false, at: feasible.startBy, order: feasible.sequence };
+    return { late: false, time: feasible.startBy, sequence: feasible.sequence };
   }
   const late = flow.late.getFirst()!;
-  return { late: true, at: late.arrivedAt, order: late.sequence };
+  return { late: true, time: late.arrivedAt, sequence: late.sequence };
 }
 
 /** Whether the flow has no entries. */
@@ -65,7 +65,7 @@
   return flow.feasible.size === 0 && flow.late.size === 0;
 }
 
-/** Orders flows by what they were served, the least first. */
+/** Orders flows by served tokens, least first. */
 export function isServedLess(
   left: { served: number; workspace: string },
   right: { served: number; workspace: string },
@@ -74,12 +74,12 @@
   return left.workspace < right.workspace;
 }
 
-function isStartedSooner(left: QueueEntry, right: QueueEntry): boolean {
+function hasEarlierStart(left: QueueEntry, right: QueueEntry): boolean {
   if (left.startBy !== right.startBy) return left.startBy < right.startBy;
   return left.sequence < right.sequence;
 }
 
-function isArrivedSooner(left: QueueEntry, right: QueueEntry): boolean {
+function hasEarlierArrival(left: QueueEntry, right: QueueEntry): boolean {
   if (left.arrivedAt !== right.arrivedAt) {
     return left.arrivedAt < right.arrivedAt;
   }
--- a/test/process/engine_control/engine_controller_test.ts
+++ b/test/process/engine_control/engine_controller_test.ts
@@ -14,9 +14,9 @@
 } from "../../../src/ids.ts";
 import { SilentLog } from "../../../src/process/log.ts";
 import {
-  ORDER_LEASE_MS,
-  ORDER_TRANSIT_MS,
-  OrderGiver,
+  COMMAND_LEASE_MS,
+  COMMAND_TRANSIT_MS,
+  EngineController,
 } from "../../../src/process/engine_control/index.ts";
 import type { PeerDirectory } from "../../../src/process/peer_api.ts";
 import { SeededRandom } from "../../../src/process/random.ts";
@@ -32,14 +32,14 @@
 
 const UPSTREAMS = ["u1", "u2"].map((id) => toId<VmId>(id));
 
-interface GivenOrder extends EngineOrder {
-  giver: VmId;
+interface SentCommand extends EngineOrder {
+  controller: VmId;
   at: number;
 }
 
-/** Engines that note every order and check the number only when told to. */
+/** Engines that record every command and can ignore fencing numbers. */
 class FakeEngines {
-  readonly given: GivenOrder[] = [];
+  readonly sent: SentCommand[] = [];
   readonly reports = new Map<VmId, LoadReport>(
     UPSTREAMS.map((vm) => [vm, buildReport([])]),
   );
@@ -47,27 +47,27 @@
   refused = 0;
   #highest = 0;
 
-  take(giver: VmId, order: EngineOrder, at: number): boolean {
-    if (this.checksFencing && order.fencing < this.#highest) {
+  take(controller: VmId, command: EngineOrder, at: number): boolean {
+    if (this.checksFencing && command.fencing < this.#highest) {
       this.refused++;
       return false;
     }
-    this.#highest = Math.max(this.#highest, order.fencing);
-    this.given.push({ ...order, giver, at });
+    this.#highest = Math.max(this.#highest, command.fencing);
+    this.sent.push({ ...command, controller, at });
     return true;
   }
 }
 
-/** One giver's way to the engines. */
+/** Transport of one controller to the fake engines. */
 class FakeTransport extends UpstreamTransport {
   readonly #engines: FakeEngines;
-  readonly #giver: VmId;
+  readonly #controller: VmId;
   readonly #clock: VirtualClock;
 
-  constructor(engines: FakeEngines, giver: VmId, clock: VirtualClock) {
+  constructor(engines: FakeEngines, controller: VmId, clock: VirtualClock) {
     super();
     this.#engines = engines;
-    this.#giver = giver;
+    this.#controller = controller;
     this.#clock = clock;
   }
 
@@ -75,9 +75,9 @@
     return Promise.resolve(this.#engines.reports.get(upstream)!);
   }
 
-  override sendCommand(_vm: VmId, order: EngineOrder): Promise<boolean> {
+  override sendCommand(_vm: VmId, command: EngineOrder): Promise<boolean> {
     const now = this.#clock.now();
-    return Promise.resolve(this.#engines.take(this.#giver, order, now));
+    return Promise.resolve(this.#engines.take(this.#controller, command, now));
   }
 
   override send(): never {
@@ -93,13 +93,13 @@
   }
 }
 
-/** One VM that may give orders; its records and its view can be changed. */
-class Giver {
+/** An engine controller whose records and list revision can be changed. */
+class TestController {
   viewAt = 0;
   models: PoolModel[] = [MODEL_A];
   shards = 1;
   readonly membership: FakeMembership;
-  readonly orders: OrderGiver;
+  readonly engineController: EngineController;
 
   constructor(
     vm: VmId,
@@ -112,7 +112,7 @@
   ) {
     const { clock, engines, list, fencing } = options;
     this.membership = FakeMembership.create(list);
-    this.orders = OrderGiver.create({
+    this.engineController = EngineController.create({
       environment: {
         vm,
         incarnation: toId<Incarnation>("i"),
@@ -154,69 +154,73 @@
 
 async function runFor(
   clock: VirtualClock,
-  givers: Giver[],
+  controllers: TestController[],
   ms: number,
 ): Promise<void> {
   const end = clock.now() + ms;
   while (clock.now() < end) {
-    for (const giver of givers) {
-      giver.viewAt = clock.now();
-      await giver.orders.runRound();
+    for (const controller of controllers) {
+      controller.viewAt = clock.now();
+      await controller.engineController.runRound();
     }
     await clock.run(1000);
   }
 }
 
-// Symptom: an engine drops the model that its new giver ordered and loads
-// another.
-// Sequence: giver A is stopped; the list names B; B orders model-a; A goes on
-// and still believes in its own revision and its own older records.
-// Cause: a paused process cannot know that it lost its authority unless it
-// asks how old its view is.
+// Guards against two VMs commanding one engine after a pause: controller A is
+// paused, the list names B, B loads model-a, and A resumes with its old revision
+// and older records and replaces the model. A paused process cannot notice that
+// it lost its role unless it checks the age of its revision.
 describe.each(["checked", "ignored"] as const)(
-  "a giver that wakes late, engines with fencing %s",
+  "a controller that resumes after a pause, engines with fencing %s",
   (fencing) => {
-    it("gives no order with lost authority", async () => {
+    it("sends no command once it is no longer the controller", async () => {
       const clock = VirtualClock.create();
       const engines = new FakeEngines();
       engines.checksFencing = fencing === "checked";
       const before = buildList(1, ["a"]);
       const options = { clock, engines, list: before, fencing };
-      const a = new Giver(toId<VmId>("a"), options);
+      const a = new TestController(toId<VmId>("a"), options);
       a.models = [MODEL_B];
       await runFor(clock, [a], 30_000);
-      expect(engines.given.some(({ giver }) => giver === "a")).toBe(true);
+      expect(engines.sent.some(({ controller }) => controller === "a")).toBe(
+        true,
+      );
 
       const after = buildList(2, ["b"]);
-      const b = new Giver(toId<VmId>("b"), { ...options, list: after });
+      const b = new TestController(toId<VmId>("b"), {
+        ...options,
+        list: after,
+      });
       await runFor(clock, [b], 90_000);
-      expect(engines.given.some(({ giver }) => giver === "b")).toBe(true);
+      expect(engines.sent.some(({ controller }) => controller === "b")).toBe(
+        true,
+      );
 
-      const count = engines.given.length;
-      await a.orders.runRound();
-      expect(engines.given).toHaveLength(count);
+      const count = engines.sent.length;
+      await a.engineController.runRound();
+      expect(engines.sent).toHaveLength(count);
     });
   },
 );
 
-// Symptom: an engine that ignores the number carries out two givers' orders.
-// Sequence: the list moves the upstream from A to B while A, cut off from the
-// list, still has a view within its lease.
-// Cause: for one lease's time both have reason to believe that they may give.
-describe("a change of giver at engines that ignore the number", () => {
-  it("leaves the lease and the transit time between the two", async () => {
+// Guards against two controllers of an engine that ignores fencing numbers: the
+// list moves the upstream from A to B while A, cut off from the list, is still
+// within its lease. For that time both consider themselves the controller.
+describe("a change of controller", () => {
+  it("waits for lease and transit time if engines ignore fencing", async () => {
     const clock = VirtualClock.create();
     const engines = new FakeEngines();
     engines.checksFencing = false;
     const options = { clock, engines, fencing: "ignored" as const };
-    const a = new Giver(toId<VmId>("a"), {
+    const a = new TestController(toId<VmId>("a"), {
       ...options,
       list: buildList(1, ["a"]),
     });
     a.models = [MODEL_A];
     await runFor(clock, [a], 20_000);
     const changedAt = clock.now();
-    const b = new Giver(toId<VmId>("b"), {
+    const b = new TestController(toId<VmId>("b"), {
       ...options,
       list: buildList(2, ["b"]),
     });
@@ -224,27 +228,28 @@
     a.models = [MODEL_B, MODEL_A];
     for (let step = 0; step < 40; step++) {
       b.viewAt = clock.now();
-      await a.orders.runRound();
-      await b.orders.runRound();
+      await a.engineController.runRound();
+      await b.engineController.runRound();
       await clock.run(1000);
     }
-    const lastOfA = engines.given.filter(({ giver }) => giver === "a").at(-1)!;
-    const firstOfB = engines.given.find(({ giver }) => giver === "b")!;
-    expect(lastOfA.at - changedAt).toBeLessThanOrEqual(ORDER_LEASE_MS);
+    const lastOfA = engines.sent.filter(({ controller }) => controller === "a")
+      .at(-1)!;
+    const firstOfB = engines.sent.find(({ controller }) => controller === "b")!;
+    expect(lastOfA.at - changedAt).toBeLessThanOrEqual(COMMAND_LEASE_MS);
     expect(firstOfB.at - changedAt).toBeGreaterThanOrEqual(
-      ORDER_LEASE_MS + ORDER_TRANSIT_MS,
+      COMMAND_LEASE_MS + COMMAND_TRANSIT_MS,
     );
   });
 
-  it("is refused by engines that check it, at once", async () => {
+  it("lets engines that check fencing refuse the old controller", async () => {
     const clock = VirtualClock.create();
     const engines = new FakeEngines();
     const options = { clock, engines, fencing: "checked" as const };
-    const a = new Giver(toId<VmId>("a"), {
+    const a = new TestController(toId<VmId>("a"), {
       ...options,
       list: buildList(1, ["a"]),
     });
-    const b = new Giver(toId<VmId>("b"), {
+    const b = new TestController(toId<VmId>("b"), {
       ...options,
       list: buildList(2, ["b"]),
     });
@@ -252,53 +257,55 @@
     a.models = [MODEL_B];
     await runFor(clock, [a], 5000);
     expect(engines.refused).toBeGreaterThan(0);
-    expect(engines.given.every(({ giver }) => giver === "b")).toBe(true);
+    expect(engines.sent.every(({ controller }) => controller === "b")).toBe(
+      true,
+    );
   });
 });
 
-// Symptom: an engine that checks the number carries out two givers' orders.
-// Sequence: a change of records splits the pool into more shards; for some
-// seconds two VMs with one list have different records.
-// Cause: the giver follows from the records, and equal numbers then no longer
-// mean equal givers.
+// Guards against two controllers with equal fencing numbers: a record change
+// splits the pool into more shards, and for some seconds two VMs with the same
+// list have different records. If the controller followed from the records,
+// engines that check the number would execute the commands of both.
 describe("VMs whose records differ under one revision", () => {
-  it("name one giver of each upstream", async () => {
+  it("agree on one controller of each upstream", async () => {
     const clock = VirtualClock.create();
     const engines = new FakeEngines();
     const list = buildList(1, ["a", "b", "c", "d"]);
-    const givers = list.vms.map(({ id }, index) => {
+    const controllers = list.vms.map(({ id }, index) => {
       const options = { clock, engines, list, fencing: "checked" as const };
-      const giver = new Giver(id, options);
-      giver.shards = index + 1;
-      return giver;
+      const controller = new TestController(id, options);
+      controller.shards = index + 1;
+      return controller;
     });
-    await runFor(clock, givers, 10_000);
-    expect(engines.given.length).toBeGreaterThan(0);
-    expect(new Set(engines.given.map(({ giver }) => giver)).size).toBe(1);
+    await runFor(clock, controllers, 10_000);
+    expect(engines.sent.length).toBeGreaterThan(0);
+    expect(new Set(engines.sent.map(({ controller }) => controller)).size).toBe(
+      1,
+    );
   });
 });
 
-// Symptom: the weight store answers slowly to everyone after a change of
-// records.
-// Sequence: one record asks for models on every upstream at once.
-// Cause: loads are not held to the rate that the store bears.
+// Guards against overloading the weight store: one record change can require
+// models on every upstream at once, and loads above the rate that the store
+// sustains would slow it down for everyone.
 describe("the weight store's rate", () => {
-  it("is kept over any minute", async () => {
+  it("is not exceeded in any minute", async () => {
     const clock = VirtualClock.create();
     const engines = new FakeEngines();
-    const giver = new Giver(toId<VmId>("a"), {
+    const controller = new TestController(toId<VmId>("a"), {
       clock,
       engines,
       list: buildList(1, ["a"]),
       fencing: "checked",
     });
-    giver.models = Array.from({ length: 700 }, (_, index) => ({
+    controller.models = Array.from({ length: 700 }, (_, index) => ({
       ...MODEL_A,
       model: toId(`model-${index}`),
       adapters: [],
     }));
-    await runFor(clock, [giver], 60_000);
-    expect(engines.given.length).toBeGreaterThan(300);
-    expect(engines.given.length).toBeLessThanOrEqual(600);
+    await runFor(clock, [controller], 60_000);
+    expect(engines.sent.length).toBeGreaterThan(300);
+    expect(engines.sent.length).toBeLessThanOrEqual(600);
   });
 });
--- a/test/process/engine_control/fixtures.ts
+++ b/test/process/engine_control/fixtures.ts
@@ -2,7 +2,7 @@
 import { type ModelName, type PoolName, toId } from "../../../src/ids.ts";
 import type { PoolModel, UpstreamPool } from "../../../src/version/index.ts";
 
-/** A model with an adapter, on two replicas. */
+/** A model with one adapter and two replicas. */
 export const MODEL_A: PoolModel = {
   model: toId<ModelName>("model-a"),
   version: "1",
@@ -10,7 +10,7 @@
   replicas: 2,
 };
 
-/** A model on one replica. */
+/** A model with one replica. */
 export const MODEL_B: PoolModel = {
   model: toId<ModelName>("model-b"),
   version: "1",
--- a/test/process/engine_control/model_placement_test.ts
+++ b/test/process/engine_control/model_placement_test.ts
@@ -3,14 +3,14 @@
 import { toId, type VmId } from "../../../src/ids.ts";
 import {
   chooseModels,
-  planOrders,
+  planCommands,
 } from "../../../src/process/engine_control/index.ts";
 import { buildPool, buildReport, MODEL_A, MODEL_B } from "./fixtures.ts";
 
 const VMS = ["u1", "u2", "u3", "u4"].map((id) => toId<VmId>(id));
 
 describe("chooseModels", () => {
-  it("gives each model its replicas and leaves holders where they are", () => {
+  it("assigns each model its replicas and keeps current holders", () => {
     const reports = new Map([[VMS[3]!, buildReport([MODEL_B])]]);
     const desired = chooseModels({
       pool: buildPool([MODEL_A, MODEL_B]),
@@ -24,7 +24,7 @@
     expect(holders(MODEL_B.model)).toEqual([VMS[3]]);
   });
 
-  it("splits the replicas over the shards without losing one", () => {
+  it("splits the replicas over the shards without losing any", () => {
     fc.assert(
       fc.property(
         fc.integer({ min: 1, max: 20 }),
@@ -49,9 +49,9 @@
   });
 });
 
-describe("planOrders", () => {
-  it("orders nothing of an upstream whose state is unknown", () => {
-    const planned = planOrders({
+describe("planCommands", () => {
+  it("plans no command for an upstream whose state is unknown", () => {
+    const planned = planCommands({
       pool: buildPool([MODEL_A]),
       shardIndex: 0,
       upstreams: VMS,
@@ -60,29 +60,29 @@
     expect(planned).toEqual([]);
   });
 
-  it("comes to rest once every order has been carried out", () => {
+  it("plans nothing once every command has been executed", () => {
     const pool = buildPool([MODEL_A, MODEL_B]);
     const reports = new Map(VMS.map((vm) => [vm, buildReport([MODEL_B])]));
     const input = { pool, shardIndex: 0, upstreams: VMS, reports };
     for (let round = 0; round < 5; round++) {
-      for (const { upstream, command: order } of planOrders(input)) {
+      for (const { upstream, command } of planCommands(input)) {
         const report = reports.get(upstream)!;
-        if (order.action === "unload") {
+        if (command.action === "unload") {
           report.models = report.models.filter((one) =>
-            one.model !== order.model
+            one.model !== command.model
           );
           continue;
         }
-        const held = report.models.find((one) => one.model === order.model);
-        const adapters = order.adapter === undefined ? [] : [order.adapter];
+        const held = report.models.find((one) => one.model === command.model);
+        const adapters = command.adapter === undefined ? [] : [command.adapter];
         if (held) held.adapters.push(...adapters);
         else {
-          const { model, version } = order;
+          const { model, version } = command;
           report.models.push({ model, version, adapters });
         }
       }
     }
-    expect(planOrders(input)).toEqual([]);
+    expect(planCommands(input)).toEqual([]);
     const holders = [...reports.values()].filter((report) =>
       report.models.some((held) =>
         held.model === MODEL_A.model && held.adapters.includes("formal")
@@ -91,35 +91,35 @@
     expect(holders).toHaveLength(MODEL_A.replicas);
   });
 
-  it("orders a role that the records ask for, until it is reported", () => {
+  it("plans a role change until the upstream reports the role", () => {
     const pool = { ...buildPool([MODEL_A]), role: "prefill" };
     const report = buildReport([MODEL_A]);
     const reports = new Map(VMS.map((vm) => [vm, { ...report }]));
     const input = { pool, shardIndex: 0, upstreams: VMS, reports };
     const listRoles = () =>
-      planOrders(input).filter(({ command: order }) => order.action === "role");
+      planCommands(input).filter(({ command }) => command.action === "role");
     expect(listRoles().map(({ upstream }) => upstream)).toEqual(VMS);
     expect(listRoles()[0]!.command.role).toBe("prefill");
     reports.get(VMS[0]!)!.role = "prefill";
     expect(listRoles()).toHaveLength(VMS.length - 1);
     const open = { ...input, pool: { ...pool, role: undefined } };
     expect(
-      planOrders(open).some(({ command: order }) => order.action === "role"),
+      planCommands(open).some(({ command }) => command.action === "role"),
     )
       .toBe(false);
   });
 
-  it("unloads only after every load has been seen to stand", () => {
+  it("unloads nothing while a load is missing", () => {
     const pool = buildPool([MODEL_A]);
     const reports = new Map(VMS.map((vm) => [vm, buildReport([MODEL_B])]));
-    const planned = planOrders({
+    const planned = planCommands({
       pool,
       shardIndex: 0,
       upstreams: VMS,
       reports,
     });
     expect(planned.length).toBeGreaterThan(0);
-    expect(planned.every(({ command: order }) => order.action === "load")).toBe(
+    expect(planned.every(({ command }) => command.action === "load")).toBe(
       true,
     );
   });
--- a/test/process/scheduler/fixtures.ts
+++ b/test/process/scheduler/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Records, calls and fakes for the scheduler's tests.
+ * Records, calls and fakes for the scheduler tests.
  *
  * @module
  */
@@ -22,7 +22,7 @@
 import { pickRendezvousFirst } from "../../../src/process/rendezvous.ts";
 import {
   buildShardId,
-  type SchedulerDecisions,
+  type SchedulerFeatures,
   ShardOwner,
 } from "../../../src/process/scheduler/index.ts";
 import type {
@@ -39,7 +39,7 @@
 } from "../../../src/version/records.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
-/** A virtual clock that can jump, as a paused process sees it. */
+/** A virtual clock that can jump ahead, as seen by a paused process. */
 export class JumpingClock extends VirtualClock {
   #offset = 0;
 
@@ -51,7 +51,7 @@
     return super.now() + this.#offset;
   }
 
-  /** The process stood still for `ms`: no timer fired meanwhile. */
+  /** Advances the time by `ms` without firing timers. */
   addClockJump(ms: number): void {
     this.#offset += ms;
   }
@@ -105,7 +105,7 @@
   slotShares?: { gold?: number; silver?: number; bronze?: number };
 }
 
-/** Three tiers (gold, silver, bronze), one pool. */
+/** Builds a snapshot with three tiers (gold, silver, bronze) and one pool. */
 export function buildSnapshot(parts: SnapshotParts): Snapshot {
   const pool = parts.pool ?? buildPool();
   const shares = parts.slotShares ?? {};
@@ -174,13 +174,13 @@
   };
 }
 
-let tickets = 0;
+let ticketCount = 0;
 
 export function buildCall(
   className: string,
   changes: Partial<AcquireCall> = {},
 ): AcquireCall {
-  const ticket = `ticket-${tickets++}`;
+  const ticket = `ticket-${ticketCount++}`;
   return {
     from: { vm: toId("entry-0"), incarnation: toId("1") },
     shard: buildShardId(toId("pool"), 0),
@@ -203,12 +203,14 @@
   };
 }
 
-/** Fakes in place of upstreams; `loads` is what the engines report. */
+/** Fake upstreams; `loads` holds the load reports of the engines. */
 export class FakeUpstreams extends UpstreamTransport {
   readonly loads = new Map<VmId, LoadReport>();
 
   send(): Promise<never> {
-    return Promise.reject(new Error("No work is sent in these tests"));
+    return Promise.reject(
+      new Error("Unexpected send: these tests send no requests"),
+    );
   }
 
   fetchLoad(upstream: VmId): Promise<LoadReport> {
@@ -231,7 +233,7 @@
   }
 }
 
-/** Channels to fake VMs; a VM in `silent` never answers. */
+/** Fake peers; a VM in `silent` never answers. */
 class FakePeers extends PeerDirectory {
   readonly peers = new Map<VmId, PeerApi>();
   readonly silent = new Set<VmId>();
@@ -249,7 +251,7 @@
   }
 }
 
-/** A view that tests change by hand. */
+/** A membership view that tests set directly. */
 export class FakeMembership extends MembershipView {
   upstreams: ListedVm[] = [];
   entryVms: ListedVm[] = [];
@@ -320,17 +322,17 @@
   };
 }
 
-/** One owner with its upstreams, past the settling time. */
+/** A shard owner with its upstreams, past its grace period. */
 export interface OwnerHarness {
   clock: JumpingClock;
   owner: ShardOwner;
   upstreams: ListedVm[];
   snapshot: Snapshot;
-  /** Tickets in the order in which they were granted. */
+  /** Granted tickets, in order. */
   granted: string[];
   /** Refusal codes by ticket. */
   refused: Map<string, string>;
-  /** Leases by ticket, to give back. */
+  /** Leases by ticket, for `release`. */
   leases: Map<string, LeaseUpdate>;
   acquire: (call: AcquireCall) => AcquireCall;
   release: (call: AcquireCall, changes?: Partial<LeaseUpdate>) => void;
@@ -338,22 +340,22 @@
 
 export interface OwnerHarnessOptions extends SnapshotParts {
   replicas?: number;
-  features?: Partial<SchedulerDecisions>;
+  features?: Partial<SchedulerFeatures>;
   queueBound?: number;
-  settle?: boolean;
-  /** Entry VMs whose announcements end settling. */
+  skipGracePeriod?: boolean;
+  /** Entry VMs whose announcements end the grace period. */
   holders?: string[];
   /** Summaries of the pool's other shards. */
   others?: ShardSummary[];
 }
 
 export async function createOwnerHarness(
-  parts: OwnerHarnessOptions,
+  options: OwnerHarnessOptions,
 ): Promise<OwnerHarness> {
   const clock = JumpingClock.create();
-  const snapshot = buildSnapshot(parts);
+  const snapshot = buildSnapshot(options);
   const upstreams = Array.from(
-    { length: parts.replicas ?? 1 },
+    { length: options.replicas ?? 1 },
     (_, index) => buildUpstream(`upstream-${index}`),
   );
   const shard: ShardId = buildShardId(toId("pool"), 0);
@@ -363,13 +365,13 @@
     pool: [...snapshot.pools.values()][0]!,
     getSnapshot: () => snapshot,
     listUpstreams: () => upstreams,
-    features: parts.features,
-    queueBound: parts.queueBound,
-    listLeaseHolders: () => (parts.holders ?? []).map((vm) => toId<VmId>(vm)),
-    listOtherShards: () => parts.others ?? [],
+    features: options.features,
+    queueBound: options.queueBound,
+    listLeaseHolders: () => (options.holders ?? []).map((vm) => toId<VmId>(vm)),
+    listOtherShards: () => options.others ?? [],
   });
-  if (parts.settle !== false) await clock.run(2_100);
-  const bench: OwnerHarness = {
+  if (options.skipGracePeriod !== false) await clock.run(2_100);
+  const harness: OwnerHarness = {
     clock,
     owner,
     upstreams,
@@ -380,30 +382,30 @@
     acquire: (call) => {
       void owner.acquire(call).then((answer) => {
         if (answer.kind === "refused") {
-          bench.refused.set(call.ticket, answer.refusal.code);
+          harness.refused.set(call.ticket, answer.refusal.code);
         }
         if (answer.kind !== "granted") return;
-        bench.granted.push(call.ticket);
-        bench.leases.set(call.ticket, buildLeaseUpdate(call, answer.lease));
+        harness.granted.push(call.ticket);
+        harness.leases.set(call.ticket, buildLeaseUpdate(call, answer.lease));
       });
       return call;
     },
     release: (call, changes = {}) => {
-      const news = bench.leases.get(call.ticket)!;
+      const update = harness.leases.get(call.ticket)!;
       owner.syncLeases({
         from: call.from,
         shard,
-        news: [{ ...news, state: "done", ...changes }],
+        news: [{ ...update, state: "done", ...changes }],
         withdrawn: [],
       });
     },
   };
-  return bench;
+  return harness;
 }
 
-/** Runs for `ms`, giving each lease back `holdMs` after it was granted. */
+/** Runs for `ms` and releases each lease `holdMs` after its grant. */
 export async function runSlots(
-  bench: OwnerHarness,
+  harness: OwnerHarness,
   options: {
     ms: number;
     holdMs: number;
@@ -413,17 +415,17 @@
 ): Promise<void> {
   const stepMs = 10;
   const since = new Map<string, number>();
-  const end = bench.clock.now() + options.ms;
+  const end = harness.clock.now() + options.ms;
   const done = new Set<string>();
-  while (bench.clock.now() < end) {
-    await bench.clock.run(stepMs);
-    const now = bench.clock.now();
+  while (harness.clock.now() < end) {
+    await harness.clock.run(stepMs);
+    const now = harness.clock.now();
     for (const call of options.calls) {
-      if (!bench.leases.has(call.ticket) || done.has(call.ticket)) continue;
+      if (!harness.leases.has(call.ticket) || done.has(call.ticket)) continue;
       if (!since.has(call.ticket)) since.set(call.ticket, now);
       if (now - since.get(call.ticket)! < options.holdMs) continue;
       done.add(call.ticket);
-      bench.release(call, {
+      harness.release(call, {
         tokens: 10,
         firstTokenMs: 100,
         betweenTokensMs: options.betweenTokensMs ?? 10,
--- a/test/process/scheduler/lease_client_test.ts
+++ b/test/process/scheduler/lease_client_test.ts
@@ -9,7 +9,8 @@
   buildClass("high"),
   buildClass("low", { tier: toId("bronze") }),
 ];
-const SETTLED_MS = 2_200;
+/** Longer than the grace period of a new owner. */
+const STARTUP_MS = 2_200;
 
 async function createFleet(
   parts: { vms: number; replicas: number; slots?: number },
@@ -21,7 +22,7 @@
     vms: parts.vms,
     replicas: parts.replicas,
   });
-  await fleet.clock.run(SETTLED_MS);
+  await fleet.clock.run(STARTUP_MS);
   return fleet;
 }
 
@@ -45,10 +46,9 @@
 }
 
 describe("HeldSlot", () => {
-  // Symptom: two requests on one slot. Sequence: a lease lapses, a renewal that
-  // was sent later is answered. Cause: the answer brings the lease back, though
-  // its slot may be another's by now.
-  test("stays lapsed once it has lapsed", async () => {
+  // Guards against two requests on one slot: a renewal sent after the lease
+  // expired must not restore it, because the slot may have been granted again.
+  test("stays expired when a later renewal is accepted", async () => {
     const clock = JumpingClock.create();
     const slot = HeldSlot.create({
       clock,
@@ -65,7 +65,7 @@
       workspace: toId("workspace"),
       idempotent: true,
       promptTokens: 1,
-      askedAt: clock.now(),
+      requestedAt: clock.now(),
       onRelease: () => {},
       onSignals: () => {},
     });
@@ -80,9 +80,9 @@
 });
 
 describe("LeaseClient", () => {
-  test("waits at another VM's owner and gives slots back", async () => {
+  test("waits in the queue of an owner on another VM and returns slots", async () => {
     const fleet = await createFleet({ vms: 3, replicas: 2 });
-    const outcomes = fleet.vms.map((vm) => fleet.ask(vm));
+    const outcomes = fleet.vms.map((vm) => fleet.acquire(vm));
     await fleet.clock.run(50);
     expect(countHeld(outcomes)).toBe(2);
     const waiting = outcomes.find((one) => one.lease === undefined)!;
@@ -92,12 +92,12 @@
     fleet.stop();
   });
 
-  test("keeps its leases renewed, and tells of the queue", async () => {
+  test("renews its leases and records the queueing as a step", async () => {
     const fleet = await createFleet({ vms: 3, replicas: 1 });
     const [other] = fleet.listOthers();
-    const held = fleet.ask(other!);
+    const held = fleet.acquire(other!);
     await fleet.clock.run(50);
-    const waiting = fleet.ask(other!);
+    const waiting = fleet.acquire(other!);
     await fleet.clock.run(20_000);
     expect(held.lease!.isValid()).toBe(true);
     expect(waiting.lease).toBeUndefined();
@@ -105,51 +105,50 @@
     fleet.stop();
   });
 
-  // Symptom: work goes out on a slot that another has. Sequence: the process
-  // is stopped while it holds a lease, the lease runs out, the process goes
-  // on. Cause: it does not see that time has passed.
-  test("holds no valid lease after a pause", async () => {
+  // Guards against sending work on a slot that was granted again: the lease
+  // expires while the process is paused, and the process must notice it.
+  test("holds no valid lease after a long pause", async () => {
     const fleet = await createFleet({ vms: 3, replicas: 1 });
-    const held = fleet.ask(fleet.listOthers()[0]!);
+    const held = fleet.acquire(fleet.listOthers()[0]!);
     await fleet.clock.run(50);
     fleet.clock.addClockJump(10_000);
     expect(held.lease!.isValid()).toBe(false);
     fleet.stop();
   });
 
-  test("withdraws the ticket of a caller that goes away", async () => {
+  test("withdraws the ticket of a caller that disconnects", async () => {
     const fleet = await createFleet({ vms: 3, replicas: 1 });
     const [other] = fleet.listOthers();
-    const held = fleet.ask(other!);
+    const held = fleet.acquire(other!);
     await fleet.clock.run(50);
-    const gone = fleet.ask(other!);
-    const next = fleet.ask(other!);
+    const abandoned = fleet.acquire(other!);
+    const next = fleet.acquire(other!);
     await fleet.clock.run(50);
-    gone.abort.abort();
+    abandoned.abort.abort();
     await fleet.clock.run(50);
-    expect(getCode(gone)).toBe("cancelled");
+    expect(getCode(abandoned)).toBe("cancelled");
     releaseDone(held);
     await fleet.clock.run(50);
     expect(next.lease).toBeDefined();
     fleet.stop();
   });
 
-  // Symptom: a slot stays empty for seconds. Sequence: the caller goes away
-  // while the owner's grant is on its way. Cause: the grant reaches nobody.
-  test("gives back a grant that arrives after its caller went away", async () => {
+  // Guards against a slot that stays unused for seconds: the caller disconnects
+  // while the owner's grant is in transit.
+  test("returns a grant that arrives after its caller disconnected", async () => {
     const fleet = await createFleet({ vms: 3, replicas: 1 });
     const [other] = fleet.listOthers();
-    const gone = fleet.ask(other!);
+    const abandoned = fleet.acquire(other!);
     await fleet.clock.run(1);
-    gone.abort.abort();
-    const next = fleet.ask(other!);
+    abandoned.abort.abort();
+    const next = fleet.acquire(other!);
     await fleet.clock.run(100);
-    expect(gone.lease).toBeUndefined();
+    expect(abandoned.lease).toBeUndefined();
     expect(next.lease).toBeDefined();
     fleet.stop();
   });
 
-  test("stops a lease that the owner takes back", async () => {
+  test("signals the preemption of a lease", async () => {
     const high = buildClass("high");
     high.targets.firstTokenMs = 5_000;
     const low = buildClass("low", {
@@ -162,15 +161,15 @@
       vms: 3,
       replicas: 1,
     });
-    await fleet.clock.run(SETTLED_MS);
+    await fleet.clock.run(STARTUP_MS);
     const [first, second] = fleet.listOthers();
-    const victim = fleet.ask(first!, {
+    const victim = fleet.acquire(first!, {
       className: toId("low"),
       maxTokens: 100_000,
       deadlineAt: 1e9,
     });
     await fleet.clock.run(50);
-    const waiting = fleet.ask(second!);
+    const waiting = fleet.acquire(second!);
     await fleet.clock.run(2_000);
     expect(victim.lease!.preempted.aborted).toBe(true);
     victim.lease!.release("cancelled", {
@@ -184,25 +183,24 @@
   });
 });
 
-describe("when the owner is lost", () => {
-  // Symptom: replicas get more work than they have slots. Sequence: the owner
-  // dies with slots granted, the next owner begins with an empty ledger.
-  // Cause: running leases are not known to it. In a fleet that has run for a
-  // while settling ends with the last VM's announcement, so that announcement
-  // must name leases that were renewed a moment ago too.
+describe("LeaseClient when the owner is unreachable", () => {
+  // Guards against more requests than slots on a replica: the next owner starts
+  // with an empty ledger and does not know the running leases. When the fleet
+  // has been up for a while, the grace period ends with the last VM's
+  // announcement, which therefore must include recently renewed leases.
   test.each([0, 12_000])(
-    "after %i ms the next one grants only what running leases leave",
+    "the next owner grants only slots without running leases, after %i ms",
     async (upMs) => {
       const fleet = await createFleet({ vms: 4, replicas: 3 });
       await fleet.clock.run(upMs);
       const lost = fleet.getOwner();
       const [first, second, third] = fleet.listOthers();
-      const held = [fleet.ask(first!), fleet.ask(second!)];
+      const held = [fleet.acquire(first!), fleet.acquire(second!)];
       await fleet.clock.run(700);
       expect(countHeld(held)).toBe(2);
-      fleet.silent.add(lost.id);
+      fleet.disconnected.add(lost.id);
       fleet.noteUnreachable(lost.id);
-      const more = [1, 2, 3].map(() => fleet.ask(third!));
+      const more = [1, 2, 3].map(() => fleet.acquire(third!));
       await fleet.clock.run(700);
       if (upMs > 0) expect(countHeld(more)).toBe(1);
       await fleet.clock.run(7_300);
@@ -215,15 +213,15 @@
     },
   );
 
-  test("a call that waits at the lost owner goes on at once", async () => {
+  test("a call held by the lost owner moves to the next owner at once", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
     await fleet.clock.run(12_000);
     const lost = fleet.getOwner();
     const [first] = fleet.listOthers();
-    releaseDone(await waitForLease(fleet, fleet.ask(first!)));
+    releaseDone(await waitForLease(fleet, fleet.acquire(first!)));
     await fleet.clock.run(50);
-    fleet.silent.add(lost.id);
-    const waiting = fleet.ask(first!);
+    fleet.disconnected.add(lost.id);
+    const waiting = fleet.acquire(first!);
     await fleet.clock.run(50);
     fleet.noteUnreachable(lost.id);
     await fleet.clock.run(700);
@@ -231,34 +229,34 @@
     fleet.stop();
   });
 
-  test("a local slot counts once the owner is back", async () => {
+  test("the owner counts a slot of the local share once it is reachable", async () => {
     const fleet = await createFleet({ vms: 2, replicas: 1, slots: 2 });
     const owner = fleet.getOwner();
     const [vm] = fleet.listOthers();
-    fleet.silent.add(owner.id);
-    const local = fleet.ask(vm!);
+    fleet.disconnected.add(owner.id);
+    const local = fleet.acquire(vm!);
     await fleet.clock.run(2_000);
     expect(local.lease).toBeDefined();
-    fleet.silent.delete(owner.id);
+    fleet.disconnected.delete(owner.id);
     await fleet.clock.run(3_000);
-    const more = [1, 2].map(() => fleet.ask(vm!));
+    const more = [1, 2].map(() => fleet.acquire(vm!));
     await fleet.clock.run(100);
     expect(countHeld(more)).toBe(1);
     fleet.stop();
   });
 
-  test("waiters go on at the next owner with their ages", async () => {
+  test("waiters keep their age at the next owner", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
     const lost = fleet.getOwner();
     const [first, second] = fleet.listOthers();
-    const held = fleet.ask(first!);
+    const held = fleet.acquire(first!);
     await fleet.clock.run(50);
-    const old = fleet.ask(second!);
+    const old = fleet.acquire(second!);
     await fleet.clock.run(1_000);
-    fleet.silent.add(lost.id);
+    fleet.disconnected.add(lost.id);
     fleet.noteUnreachable(lost.id);
     await fleet.clock.run(500);
-    const young = fleet.ask(first!, {
+    const young = fleet.acquire(first!, {
       deadlineAt: fleet.clock.now() + 20_000,
     });
     await fleet.clock.run(3_000);
@@ -269,22 +267,21 @@
     fleet.stop();
   });
 
-  // Symptom: nothing is served though the replicas are idle. Sequence: the
-  // owner goes silent and nobody has noticed yet. Cause: every request waits
-  // for the owner.
-  test("each VM uses its own share, and all together no slot twice", async () => {
+  // Guards against requests that all wait while the replicas are idle: the
+  // owner is unreachable, but no VM has detected it yet.
+  test("the VMs use their local shares and together no slot twice", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 3, slots: 2 });
-    fleet.silent.add(fleet.getOwner().id);
-    const asked = fleet.listOthers().flatMap((vm) =>
-      [1, 2, 3, 4].map(() => fleet.ask(vm))
+    fleet.disconnected.add(fleet.getOwner().id);
+    const outcomes = fleet.listOthers().flatMap((vm) =>
+      [1, 2, 3, 4].map(() => fleet.acquire(vm))
     );
     await fleet.clock.run(2_000);
-    expect(countHeld(asked)).toBeGreaterThanOrEqual(3);
+    expect(countHeld(outcomes)).toBeGreaterThanOrEqual(3);
     await fleet.clock.run(4_000);
-    const held = countHeld(asked);
+    const held = countHeld(outcomes);
     expect(held).toBeGreaterThanOrEqual(3);
     expect(held).toBeLessThanOrEqual(6);
-    for (const outcome of asked) {
+    for (const outcome of outcomes) {
       if (outcome.lease === undefined) {
         expect(getCode(outcome)).toBe("owner_unreachable");
       }
@@ -292,34 +289,34 @@
     fleet.stop();
   });
 
-  test("a VM without a share refuses as soon as it has given up", async () => {
+  test("a VM without a local share refuses after the owner's time-out", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
-    fleet.silent.add(fleet.getOwner().id);
-    const asked = fleet.listOthers().map((vm) => fleet.ask(vm));
+    fleet.disconnected.add(fleet.getOwner().id);
+    const outcomes = fleet.listOthers().map((vm) => fleet.acquire(vm));
     await fleet.clock.run(4_000);
-    expect(countHeld(asked)).toBeLessThanOrEqual(1);
-    const refused = asked.filter((outcome) => outcome.error !== undefined);
-    expect(refused.length).toBe(3 - countHeld(asked));
+    expect(countHeld(outcomes)).toBeLessThanOrEqual(1);
+    const refused = outcomes.filter((outcome) => outcome.error !== undefined);
+    expect(refused.length).toBe(3 - countHeld(outcomes));
     fleet.stop();
   });
 
-  // Symptom: a request is refused though the owner is well. Sequence: its VM is
-  // stopped while the request waits, and goes on. Cause: the call that could
-  // not be answered meanwhile is taken for silence of the owner.
-  test("a pause of this VM is no silence of the owner", async () => {
+  // Guards against a refusal while the owner is healthy: this VM's process is
+  // paused while the request waits, and the call that timed out meanwhile must
+  // not count as an unreachable owner.
+  test("a pause of this VM does not count as an unreachable owner", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
     const owner = fleet.getOwner();
     const others = fleet.listOthers();
-    const held = fleet.ask(others[0]!);
+    const held = fleet.acquire(others[0]!);
     await fleet.clock.run(50);
-    const waiting = others.map((vm) => fleet.ask(vm));
+    const waiting = others.map((vm) => fleet.acquire(vm));
     await fleet.clock.run(100);
     fleet.clock.addClockJump(10_000);
     await fleet.clock.run(850);
-    // The answers to the calls that were held meanwhile are lost.
-    fleet.silent.add(owner.id);
+    // The answers to the calls held during the pause are lost.
+    fleet.disconnected.add(owner.id);
     await fleet.clock.run(100);
-    fleet.silent.delete(owner.id);
+    fleet.disconnected.delete(owner.id);
     await fleet.clock.run(1_000);
     expect(countHeld(waiting)).toBe(0);
     releaseDone(held);
@@ -329,13 +326,13 @@
     fleet.stop();
   });
 
-  test("higher tiers go first in a VM's own share", async () => {
+  test("higher tiers get slots of the local share first", async () => {
     const fleet = await createFleet({ vms: 2, replicas: 1, slots: 2 });
-    fleet.silent.add(fleet.getOwner().id);
+    fleet.disconnected.add(fleet.getOwner().id);
     const [vm] = fleet.listOthers();
-    const low = fleet.ask(vm!, { className: toId("low") });
+    const low = fleet.acquire(vm!, { className: toId("low") });
     await fleet.clock.run(1);
-    const high = fleet.ask(vm!);
+    const high = fleet.acquire(vm!);
     await fleet.clock.run(4_000);
     expect(high.lease).toBeDefined();
     expect(low.lease).toBeUndefined();
@@ -343,14 +340,14 @@
   });
 });
 
-describe("when the owner drains", () => {
-  test("the queue goes on at the next owner without a gap", async () => {
+describe("LeaseClient when the owner drains", () => {
+  test("the next owner continues with the queue without a grace period", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
     const draining = fleet.getOwner();
     const [first, second, third] = fleet.listOthers();
-    const held = fleet.ask(first!);
+    const held = fleet.acquire(first!);
     await fleet.clock.run(50);
-    const waiting = [fleet.ask(second!), fleet.ask(third!)];
+    const waiting = [fleet.acquire(second!), fleet.acquire(third!)];
     await fleet.clock.run(50);
     for (const vm of fleet.vms) {
       vm.membership.draining.add(draining.id);
@@ -366,10 +363,9 @@
     fleet.stop();
   });
 
-  // Symptom: an acquire call waits at a VM that will never grant. Sequence: the
-  // caller's view lags behind the owner's change. Cause: the old owner holds
-  // the call.
-  test("a caller whose view lags is sent on", async () => {
+  // Guards against a call held by a VM that never grants it: the caller's view
+  // of the membership is outdated and still names the previous owner.
+  test("redirects a caller whose membership view is outdated", async () => {
     const fleet = await createFleet({ vms: 4, replicas: 1 });
     const draining = fleet.getOwner();
     for (const vm of fleet.vms) vm.membership.draining.add(draining.id);
@@ -379,7 +375,7 @@
     const handedOver = draining.owners.handOverAll();
     await fleet.clock.run(50);
     await handedOver;
-    const outcome = fleet.ask(late);
+    const outcome = fleet.acquire(late);
     await fleet.clock.run(100);
     expect(outcome.lease).toBeDefined();
     fleet.stop();
--- a/test/process/scheduler/lease_sync_test.ts
+++ b/test/process/scheduler/lease_sync_test.ts
@@ -8,16 +8,16 @@
 import { buildEnvironment } from "../../support/request_fakes.ts";
 
 const SHARD = toId<HeldSlot["shard"]>("pool/0");
-const SILENT_MS = 5_000;
+const OUTAGE_MS = 5_000;
 
-/** A VM that owns the shard itself, and does not answer at first. */
+/** The sync of a VM that owns the shard itself; calls fail at first. */
 function createSync(clock: VirtualClock) {
   const calls: SyncCall[] = [];
-  const owner = { isSilent: true };
+  const owner = { isFailing: true };
   const environment = buildEnvironment(clock);
   const local = {
     syncLeases: (call: SyncCall) => {
-      if (owner.isSilent) return Promise.reject(new Error("Silent"));
+      if (owner.isFailing) return Promise.reject(new Error("No answer"));
       calls.push(call);
       return Promise.resolve({ isOwner: true, preempt: [] });
     },
@@ -33,9 +33,9 @@
   return { sync, calls, owner };
 }
 
-// Guards against an old word that is taken for a new one: what upstreams asked
-// is told by its age, and returns wait for an owner that answers.
-it("tells the age that an upstream's word has when it is sent", async () => {
+// Guards against an old rate limit that appears to be new: returned leases are
+// kept until an owner answers, and the age must count up to the actual call.
+it("reports the age of an upstream's rate limit at the time of sending", async () => {
   const clock = VirtualClock.create();
   const { sync, calls, owner } = createSync(clock);
   const slot = HeldSlot.create({
@@ -53,7 +53,7 @@
     workspace: toId("workspace"),
     idempotent: true,
     promptTokens: 1,
-    askedAt: clock.now(),
+    requestedAt: clock.now(),
     onRelease: (released) => sync.addReturn(released),
     onSignals: () => {},
   });
@@ -69,9 +69,9 @@
     firstTokenMs: undefined,
     betweenTokensMs: undefined,
   });
-  await clock.run(SILENT_MS);
-  owner.isSilent = false;
+  await clock.run(OUTAGE_MS);
+  owner.isFailing = false;
   await sync.run();
   expect(calls[0]?.news[0]?.rateLimit)
-    .toEqual({ requestsPerS: 2, ageMs: SILENT_MS });
+    .toEqual({ requestsPerS: 2, ageMs: OUTAGE_MS });
 });
--- a/test/process/scheduler/local_upstream_limits_test.ts
+++ b/test/process/scheduler/local_upstream_limits_test.ts
@@ -7,11 +7,11 @@
 const STEP_MS = 50;
 const LIMIT_PER_S = 4;
 
-function note(
-  room: LocalUpstreamLimits,
+function applyLimit(
+  limits: LocalUpstreamLimits,
   requestsPerS: number | undefined,
 ): void {
-  room.noteSignals(UPSTREAM, {
+  limits.noteSignals(UPSTREAM, {
     requestsPerS,
     isLeaving: false,
     backOffMs: 0,
@@ -19,15 +19,15 @@
   });
 }
 
-// Guards against each VM using the whole limit while no owner answers.
-it("a VM without an owner keeps to its part of a limit", async () => {
+// Guards against every VM using the whole limit while no owner answers.
+it("limits sending to this VM's share of a rate limit", async () => {
   const clock = VirtualClock.create();
-  const room = LocalUpstreamLimits.create(clock);
-  note(room, LIMIT_PER_S);
+  const limits = LocalUpstreamLimits.create(clock);
+  applyLimit(limits, LIMIT_PER_S);
   let sent = 0;
   for (let at = 0; at < 20_000; at += STEP_MS) {
-    if (room.canSend(UPSTREAM, 1 / 8)) {
-      room.addSent(UPSTREAM);
+    if (limits.canSend(UPSTREAM, 1 / 8)) {
+      limits.addSent(UPSTREAM);
       sent += 1;
     }
     await clock.run(STEP_MS);
@@ -36,32 +36,32 @@
   expect(sent).toBeLessThanOrEqual(11);
 });
 
-it("a limit ends with an answer that names none, or with its upstream", () => {
-  const room = LocalUpstreamLimits.create(VirtualClock.create());
-  const isOpen = () => room.canSend(UPSTREAM, 1);
-  note(room, LIMIT_PER_S);
-  room.addSent(UPSTREAM);
-  note(room, undefined);
+it("keeps a limit until a response lifts it or its upstream is unlisted", () => {
+  const limits = LocalUpstreamLimits.create(VirtualClock.create());
+  const isOpen = () => limits.canSend(UPSTREAM, 1);
+  applyLimit(limits, LIMIT_PER_S);
+  limits.addSent(UPSTREAM);
+  applyLimit(limits, undefined);
   expect(isOpen()).toBe(false);
-  note(room, Infinity);
+  applyLimit(limits, Infinity);
   expect(isOpen()).toBe(true);
-  note(room, LIMIT_PER_S);
-  room.addSent(UPSTREAM);
-  room.dropUnlisted(() => false);
+  applyLimit(limits, LIMIT_PER_S);
+  limits.addSent(UPSTREAM);
+  limits.dropUnlisted(() => false);
   expect(isOpen()).toBe(true);
 });
 
-it("an upstream that asks to back off gets nothing until then", async () => {
+it("sends nothing to an upstream during its back-off", async () => {
   const clock = VirtualClock.create();
-  const room = LocalUpstreamLimits.create(clock);
-  const isOpen = () => room.canSend(UPSTREAM, 1);
-  room.noteSignals(UPSTREAM, {
+  const limits = LocalUpstreamLimits.create(clock);
+  const isOpen = () => limits.canSend(UPSTREAM, 1);
+  limits.noteSignals(UPSTREAM, {
     requestsPerS: undefined,
     isLeaving: false,
     backOffMs: 3_000,
     unreadable: [],
   });
-  note(room, Infinity);
+  applyLimit(limits, Infinity);
   await clock.run(2_900);
   expect(isOpen()).toBe(false);
   await clock.run(100);
--- a/test/process/scheduler/naive_queue.ts
+++ b/test/process/scheduler/naive_queue.ts
@@ -1,6 +1,6 @@
 /**
- * The order of grants worked out anew each time from a plain list: the oracle
- * of the queue's tests. No heaps, no state but the sums.
+ * Reference implementation of the grant order for the queue's tests. It sorts a
+ * plain list at each grant and keeps no state but the sums.
  *
  * @module
  */
@@ -10,16 +10,16 @@
   NextGrant,
 } from "../../../src/process/scheduler/waiting_queue.ts";
 
-const SLACK_REQUESTS = 2;
-const MEAN_WEIGHT = 0.05;
+const MAX_LEAD_REQUESTS = 2;
+const MIN_SAMPLE_WEIGHT = 0.05;
 const DUE_SHARE = 0.5;
-const MAX_CREDIT = 2;
+const MAX_CREDIT_REQUESTS = 2;
 
-interface LaneState {
+interface FairShareState {
   served: Map<string, number>;
-  floor: number;
-  most: number;
-  mean: number;
+  virtualTime: number;
+  mostServed: number;
+  meanCost: number;
   meanTokens: number;
   finished: number;
 }
@@ -31,13 +31,13 @@
 }
 
 export class NaiveQueue {
-  readonly #decisions: { fairShare: boolean; progress: boolean };
-  readonly #lanes = new Map<string, LaneState>();
+  readonly #features: { fairShare: boolean; progress: boolean };
+  readonly #fairShares = new Map<string, FairShareState>();
   readonly #classes = new Map<string, ClassState>();
   #entries: QueueEntry[] = [];
 
-  constructor(decisions: { fairShare: boolean; progress: boolean }) {
-    this.#decisions = decisions;
+  constructor(features: { fairShare: boolean; progress: boolean }) {
+    this.#features = features;
   }
 
   get size(): number {
@@ -45,18 +45,18 @@
   }
 
   add(entry: QueueEntry, now: number): void {
-    const inLane = this.#listLane(entry);
-    const lane = this.#getLane(entry);
-    const least = inLane.length === 0
-      ? lane.most
-      : Math.min(...inLane.map((other) => getServed(lane, other)));
-    lane.floor = Math.max(lane.floor, least);
-    const isActive = inLane.some((other) =>
+    const sameModel = this.#listSameModel(entry);
+    const share = this.#getFairShare(entry);
+    const least = sameModel.length === 0
+      ? share.mostServed
+      : Math.min(...sameModel.map((other) => getServed(share, other)));
+    share.virtualTime = Math.max(share.virtualTime, least);
+    const isActive = sameModel.some((other) =>
       other.workspace === entry.workspace
     );
     if (!isActive) {
-      const served = Math.max(getServed(lane, entry), lane.floor);
-      lane.served.set(entry.workspace, served);
+      const served = Math.max(getServed(share, entry), share.virtualTime);
+      share.served.set(entry.workspace, served);
     }
     if (this.#listClass(entry).length === 0) {
       this.#classes.set(entry.className, {
@@ -75,11 +75,11 @@
   }
 
   takeGranted(entry: QueueEntry, now: number): number {
-    const lane = this.#getLane(entry);
-    const unlearnt = lane.finished > 0 ? lane.meanTokens : 1;
+    const share = this.#getFairShare(entry);
+    const coldCost = share.finished > 0 ? share.meanTokens : 1;
     const charge = entry.isCostLearnt
       ? entry.cost
-      : Math.min(entry.cost, unlearnt);
+      : Math.min(entry.cost, coldCost);
     this.remove(entry, now);
     const state = this.#classes.get(entry.className)!;
     state.credit = Math.max(0, state.credit - entry.slotMs);
@@ -88,22 +88,22 @@
   }
 
   noteServed(entry: QueueEntry, tokens: number): void {
-    const lane = this.#getLane(entry);
+    const share = this.#getFairShare(entry);
     const cost = tokens / entry.weight;
-    const served = getServed(lane, entry) + cost;
-    lane.served.set(entry.workspace, served);
-    lane.most = Math.max(lane.most, served);
+    const served = getServed(share, entry) + cost;
+    share.served.set(entry.workspace, served);
+    share.mostServed = Math.max(share.mostServed, served);
   }
 
   noteFinished(entry: QueueEntry, tokens: number): void {
-    const lane = this.#getLane(entry);
-    lane.finished++;
-    const weight = Math.max(MEAN_WEIGHT, 1 / lane.finished);
-    lane.mean += weight * (tokens / entry.weight - lane.mean);
-    lane.meanTokens += weight * (tokens - lane.meanTokens);
+    const share = this.#getFairShare(entry);
+    share.finished++;
+    const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / share.finished);
+    share.meanCost += weight * (tokens / entry.weight - share.meanCost);
+    share.meanTokens += weight * (tokens - share.meanTokens);
   }
 
-  addShare(now: number, slots: number): void {
+  addCredit(now: number, slots: number): void {
     const waiting = [...this.#classes].filter(([name]) =>
       this.#entries.some((entry) => entry.className === name)
     );
@@ -115,7 +115,7 @@
       const head = this.#findHead({ className: name } as QueueEntry)!;
       const share = this.#findClass(name).minShare / Math.max(1, sum);
       state.credit += (now - state.creditAt) * share * slots;
-      state.credit = Math.min(state.credit, MAX_CREDIT * head.slotMs);
+      state.credit = Math.min(state.credit, MAX_CREDIT_REQUESTS * head.slotMs);
       state.creditAt = now;
     }
   }
@@ -132,7 +132,7 @@
     const promoted = this.#findPromoted(now, filter);
     if (promoted !== undefined) return promoted;
     const ordered = this.#entries
-      .filter((entry) => filter.isOpen(entry.rank) && filter.accepts(entry))
+      .filter((entry) => filter.isTierOpen(entry.rank) && filter.accepts(entry))
       .filter((entry) => this.#isInTurn(entry))
       .sort((left, right) => compareEntries(left, right, now));
     const entry = ordered[0];
@@ -143,7 +143,7 @@
     now: number,
     filter: GrantFilter<QueueEntry>,
   ): NextGrant<QueueEntry> | undefined {
-    if (!this.#decisions.progress) return undefined;
+    if (!this.#features.progress) return undefined;
     const names = new Set(this.#entries.map((entry) => entry.className));
     const highest = Math.min(...this.#entries.map((entry) => entry.rank));
     const promoted = [...names].map((name) => {
@@ -161,8 +161,8 @@
     for (const { head } of promoted) {
       const isPromoted = head.rank > highest;
       if (isPromoted && !filter.canPromote()) continue;
-      if (!filter.isOpen(head.rank)) continue;
-      // Only the few oldest are tried.
+      if (!filter.isTierOpen(head.rank)) continue;
+      // Only the four oldest are tried.
       const entry = this.#listByAge(head).slice(0, 4).find(filter.accepts);
       if (entry !== undefined) return { entry, isPromoted };
     }
@@ -170,11 +170,13 @@
   }
 
   #isInTurn(entry: QueueEntry): boolean {
-    if (!this.#decisions.fairShare) return true;
-    const lane = this.#getLane(entry);
-    const served = this.#listLane(entry).map((one) => getServed(lane, one));
-    const bound = Math.min(...served) + SLACK_REQUESTS * lane.mean;
-    return getServed(lane, entry) <= bound;
+    if (!this.#features.fairShare) return true;
+    const share = this.#getFairShare(entry);
+    const served = this.#listSameModel(entry).map((one) =>
+      getServed(share, one)
+    );
+    const bound = Math.min(...served) + MAX_LEAD_REQUESTS * share.meanCost;
+    return getServed(share, entry) <= bound;
   }
 
   #findHead(entry: QueueEntry): QueueEntry | undefined {
@@ -191,7 +193,7 @@
     return this.#entries.filter((one) => one.className === entry.className);
   }
 
-  #listLane(entry: QueueEntry): QueueEntry[] {
+  #listSameModel(entry: QueueEntry): QueueEntry[] {
     return this.#listClass(entry).filter((one) =>
       one.modelKey === entry.modelKey
     );
@@ -202,26 +204,26 @@
       .requestClass;
   }
 
-  #getLane(entry: QueueEntry): LaneState {
+  #getFairShare(entry: QueueEntry): FairShareState {
     const key = `${entry.className}/${entry.modelKey}`;
-    let lane = this.#lanes.get(key);
-    if (lane === undefined) {
-      lane = {
+    let share = this.#fairShares.get(key);
+    if (share === undefined) {
+      share = {
         served: new Map(),
-        floor: 0,
-        most: 0,
-        mean: 0,
+        virtualTime: 0,
+        mostServed: 0,
+        meanCost: 0,
         meanTokens: 0,
         finished: 0,
       };
-      this.#lanes.set(key, lane);
+      this.#fairShares.set(key, share);
     }
-    return lane;
+    return share;
   }
 }
 
-function getServed(lane: LaneState, entry: QueueEntry): number {
-  return lane.served.get(entry.workspace) ?? lane.floor;
+function getServed(share: FairShareState, entry: QueueEntry): number {
+  return share.served.get(entry.workspace) ?? share.virtualTime;
 }
 
 function compareEntries(
--- a/test/process/scheduler/preemption_test.ts
+++ b/test/process/scheduler/preemption_test.ts
@@ -3,8 +3,8 @@
 import type { LeaseEntry } from "../../../src/process/scheduler/lease_ledger.ts";
 import {
   chooseVictim,
+  type PreemptionRequest,
   type PreemptionState,
-  type PreemptionWish,
 } from "../../../src/process/scheduler/preemption.ts";
 import {
   buildCall,
@@ -13,7 +13,7 @@
   createOwnerHarness,
 } from "./fixtures.ts";
 
-const WISH: PreemptionWish = {
+const REQUEST: PreemptionRequest = {
   rank: 0,
   startBy: 1_000,
   now: 0,
@@ -57,7 +57,7 @@
   changes: Partial<PreemptionState> = {},
   weights = { wastedWork: 1, goodput: 1, attainment: 1 },
 ): LeaseEntry | undefined {
-  return chooseVictim(WISH, {
+  return chooseVictim(REQUEST, {
     policy: {
       kind: "policy",
       name: "policy",
@@ -75,7 +75,7 @@
 }
 
 describe("chooseVictim", () => {
-  test("takes the lowest tier, whatever is cheaper above it", () => {
+  test("prefers the lowest tier even if a higher one is cheaper", () => {
     const low = buildLease({ rank: 2, tokens: 300 });
     const middle = buildLease({ rank: 1, tokens: 0 });
     expect(choose([middle, low])).toBe(low);
@@ -83,21 +83,21 @@
   });
 
   test.each([
-    ["its own tier", { rank: 0 }],
-    ["work that may run once only", { idempotent: false }],
-    ["work that was resumed already", { doneTokens: 10 }],
-    ["work that was stopped already", { preempted: true }],
-    ["leases of another owner", { isOwnGrant: false }],
-  ])("never takes %s", (_name, changes) => {
+    ["a lease of its own tier", { rank: 0 }],
+    ["a request that is not idempotent", { idempotent: false }],
+    ["a request that was resumed before", { doneTokens: 10 }],
+    ["a request that is already preempted", { preempted: true }],
+    ["a lease granted by another owner", { isOwnGrant: false }],
+  ])("never preempts %s", (_name, changes) => {
     expect(choose([buildLease(changes)])).toBeUndefined();
   });
 
-  test("lets work finish that is nearly done", () => {
+  test("does not preempt a request that is nearly done", () => {
     const nearlyDone = { computeRemainingMs: () => 300 };
     expect(choose([buildLease({})], nearlyDone)).toBeUndefined();
   });
 
-  test("weighs wasted work against the target that would be missed", () => {
+  test("weighs wasted work against the missed target", () => {
     const lease = buildLease({ promptTokens: 8_000 });
     const wasteful = { wastedWork: 5, goodput: 1, attainment: 1 };
     const timely = { wastedWork: 1, goodput: 1, attainment: 5 };
@@ -105,14 +105,14 @@
     expect(choose([lease], {}, timely)).toBe(lease);
   });
 
-  test("spares work whose own target would then be missed", () => {
+  test("does not preempt a request that would then miss its own target", () => {
     const tight = buildLease({ deadlineAt: 12_000 });
     expect(choose([tight])).toBeUndefined();
   });
 });
 
-describe("an owner that preempts", () => {
-  test("tells the holder, and gives the slot to the higher tier", async () => {
+describe("ShardOwner with preemption", () => {
+  test("notifies the holder and grants the slot to the higher tier", async () => {
     const high = buildClass("high");
     high.targets.firstTokenMs = 5_000;
     const low = buildClass("low", {
@@ -120,27 +120,27 @@
       maxOutputTokens: 100_000,
     });
     low.targets.totalMs = 600_000;
-    const bench = await createOwnerHarness({
+    const harness = await createOwnerHarness({
       classes: [high, low],
       pool: buildPool(),
     });
-    const running = bench.acquire(
+    const running = harness.acquire(
       buildCall("low", { maxTokens: 100_000, deadlineInMs: 1e9 }),
     );
-    await bench.clock.run(10);
-    const waiting = bench.acquire(buildCall("high"));
-    await bench.clock.run(300);
-    const news = bench.leases.get(running.ticket)!;
+    await harness.clock.run(10);
+    const waiting = harness.acquire(buildCall("high"));
+    await harness.clock.run(300);
+    const update = harness.leases.get(running.ticket)!;
     const sync = {
       from: running.from,
       shard: running.shard,
-      news: [news],
+      news: [update],
       withdrawn: [],
     };
-    expect(bench.owner.syncLeases(sync).preempt).toEqual([news.lease]);
-    expect(bench.granted).not.toContain(waiting.ticket);
-    bench.release(running, { state: "cancelled" });
-    await bench.clock.run(1);
-    expect(bench.granted).toContain(waiting.ticket);
+    expect(harness.owner.syncLeases(sync).preempt).toEqual([update.lease]);
+    expect(harness.granted).not.toContain(waiting.ticket);
+    harness.release(running, { state: "cancelled" });
+    await harness.clock.run(1);
+    expect(harness.granted).toContain(waiting.ticket);
   });
 });
--- a/test/process/scheduler/replica_test.ts
+++ b/test/process/scheduler/replica_test.ts
@@ -20,7 +20,7 @@
 const CHAT = toId<ClassName>("chat");
 const DOCUMENT = toId<ClassName>("document");
 
-const WISH: ReplicaRequirements = {
+const REQUIREMENTS: ReplicaRequirements = {
   model: "model",
   adapter: undefined,
   prefixes: [],
@@ -52,7 +52,7 @@
 }
 
 describe("SlotLimit", () => {
-  test("adds a slot while full and comfortable", () => {
+  test("adds a slot while all are in use and latency is low", () => {
     const limit = SlotLimit.create(SLOTS, { adaptive: true });
     limit.noteFull();
     limit.noteRatio(CHAT, { ratio: 0.5, now: 1_000 });
@@ -60,7 +60,7 @@
     expect(limit.slots).toBe(5);
   });
 
-  test("adds nothing while slots stay free", () => {
+  test("adds no slot while some are free", () => {
     const limit = SlotLimit.create(SLOTS, { adaptive: true });
     limit.noteRatio(CHAT, { ratio: 0.5, now: 1_000 });
     limit.update(1_000);
@@ -68,7 +68,7 @@
   });
 
   test.each([CHAT, DOCUMENT])(
-    "takes slots while %s alone misses its target",
+    "removes a slot while only %s misses its target",
     (missing) => {
       const limit = SlotLimit.create(SLOTS, { adaptive: true });
       limit.noteFull();
@@ -85,7 +85,7 @@
     },
   );
 
-  test("takes slots while cache memory runs out, never below the least", () => {
+  test("removes slots while cache memory runs out, down to the minimum", () => {
     const limit = SlotLimit.create(SLOTS, { adaptive: true });
     limit.noteReport({ cacheUsed: 0.99, waiting: 0 });
     for (let now = 1_000; now < 20_000; now += 1_000) limit.update(now);
@@ -94,20 +94,20 @@
 });
 
 describe("Replica", () => {
-  // Symptom: slots stay empty. Sequence: work ends, then a report arrives that
-  // was made before. Cause: the report is compared with the ledger of now, and
-  // the work that ended counts as somebody else's.
-  test("does not count work that ended since a lagging report", () => {
+  // Guards against empty slots: requests end, and then an older report arrives.
+  // Compared with the current ledger, the ended requests would count as
+  // untracked ones.
+  test("does not count requests that ended since a lagging report", () => {
     const replica = buildReplica("upstream-0");
     replica.setInUse(3, 1_000);
     replica.setInUse(0, 2_000);
     const report = buildReport({ running: 3 });
     replica.noteReport(report, { ageMs: 1_500, now: 3_000 });
-    expect(replica.foreign).toBe(0);
+    expect(replica.untracked).toBe(0);
     expect(replica.freeSlots).toBe(4);
   });
 
-  test("leaves room for work that the ledger does not know", () => {
+  test("reserves slots for requests that the ledger does not track", () => {
     const replica = buildReplica("upstream-0");
     replica.setInUse(1, 1_000);
     const report = buildReport({ running: 3 });
@@ -117,7 +117,7 @@
     expect(replica.freeSlots).toBe(3);
   });
 
-  test("ignores a report older than its bound", () => {
+  test("ignores the figures of a report above the maximum age", () => {
     const replica = buildReplica("upstream-0");
     const report = buildReport({ running: 4 });
     const ageMs = MAX_REPORT_AGE_MS + 1;
@@ -125,22 +125,21 @@
     expect(replica.freeSlots).toBe(4);
   });
 
-  test("believes the upstream's own word that it leaves, not an older one", () => {
+  test("keeps a leaving notice when an older report arrives", () => {
     const replica = buildReplica("upstream-0");
     const leaving = buildReport({ leaving: true });
     replica.noteReport(leaving, { ageMs: 0, now: 1_000 });
     replica.noteReport(buildReport(), { ageMs: 500, now: 1_100 });
     expect(replica.leaving).toBe(true);
-    expect(chooseReplica([replica], { requirements: WISH, now: 1_100 }))
+    expect(chooseReplica([replica], { requirements: REQUIREMENTS, now: 1_100 }))
       .toBeUndefined();
   });
 });
 
 describe("CacheIndex", () => {
-  // Symptom: slow first tokens on one replica. Sequence: an eviction event is
-  // lost, requests with that prefix go on to the replica. Cause: the index is
-  // trusted over a gap.
-  test("is built anew after a gap", () => {
+  // Guards against slow first tokens on one replica: an eviction event is lost,
+  // and requests with that prefix are still sent to the replica.
+  test("is rebuilt after a gap", () => {
     const index = CacheIndex.create();
     index.applyEvents([
       { sequence: 1, prefix: "a", change: "stored" },
@@ -153,7 +152,7 @@
     expect(index.computeOverlap(["c"])).toBe(1);
   });
 
-  test("takes late and repeated events in once, in order", () => {
+  test("applies late and repeated events once, in order", () => {
     const index = CacheIndex.create();
     const stored = { sequence: 1, prefix: "a", change: "stored" } as const;
     const evicted = { sequence: 2, prefix: "a", change: "evicted" } as const;
@@ -163,12 +162,12 @@
     expect(index.gaps).toBe(0);
   });
 
-  test("is emptied when the engine has started again", () => {
+  test("is cleared when the engine has restarted", () => {
     const index = CacheIndex.create();
     index.applyEvents([{ sequence: 50, prefix: "a", change: "stored" }]);
-    index.noteLatest(40);
+    index.noteEngineSequence(40);
     expect(index.computeOverlap(["a"])).toBe(1);
-    for (let report = 0; report < 8; report++) index.noteLatest(3);
+    for (let report = 0; report < 8; report++) index.noteEngineSequence(3);
     expect(index.computeOverlap(["a"])).toBe(0);
   });
 });
@@ -177,35 +176,35 @@
   test("prefers the replica that holds the prefix", () => {
     const replicas = buildReplicas(3);
     replicas[2]!.cache.noteRouted(["a", "b"]);
-    const wish = { ...WISH, prefixes: ["a", "b"] };
-    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).toBe(
+    const requirements = { ...REQUIREMENTS, prefixes: ["a", "b"] };
+    expect(chooseReplica(replicas, { requirements, now: 0 })).toBe(
       replicas[2],
     );
   });
 
-  // Symptom: one replica is full while others idle. Sequence: one prompt
-  // prefix becomes popular. Cause: affinity without a bound on load.
-  test("leaves a replica that is loaded far above the mean", () => {
+  // Guards against one full replica beside idle ones: prefix affinity without a
+  // load bound sends all requests with a popular prefix to one replica.
+  test("avoids a replica that is loaded far above the mean", () => {
     const replicas = buildReplicas(3);
     replicas[2]!.cache.noteRouted(["a"]);
     replicas[2]!.setInUse(3, 0);
-    const wish = { ...WISH, prefixes: ["a"] };
-    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).not.toBe(
+    const requirements = { ...REQUIREMENTS, prefixes: ["a"] };
+    expect(chooseReplica(replicas, { requirements, now: 0 })).not.toBe(
       replicas[2],
     );
   });
 
-  test("asks for the model, the adapter and a replica not to be avoided", () => {
+  test("requires the model and the adapter and skips replicas to avoid", () => {
     const replicas = buildReplicas(3);
     const other = buildReport({
       models: [{ model: "other", version: "1", adapters: [] }],
     });
     replicas[0]!.noteReport(other, { ageMs: 0, now: 0 });
-    const wish = { ...WISH, avoid: [replicas[1]!.id] };
-    expect(chooseReplica(replicas, { requirements: wish, now: 0 })).toBe(
+    const requirements = { ...REQUIREMENTS, avoid: [replicas[1]!.id] };
+    expect(chooseReplica(replicas, { requirements, now: 0 })).toBe(
       replicas[2],
     );
-    const adapted = { ...wish, adapter: "adapter" };
+    const adapted = { ...requirements, adapter: "adapter" };
     replicas[2]!.noteReport(buildReport(), { ageMs: 0, now: 0 });
     expect(chooseReplica(replicas, { requirements: adapted, now: 0 }))
       .toBeUndefined();
@@ -213,24 +212,24 @@
 });
 
 describe("updateEjections", () => {
-  // Symptom: one class in four misses its target. Sequence: a replica slows
-  // down and stays in the rotation. Cause: nothing compares replicas.
-  test("ejects a straggler, probes it and lets it return", () => {
+  // Guards against a slow replica that stays in rotation: with four replicas, a
+  // quarter of the requests would miss their targets.
+  test("ejects a straggler, probes it and returns it to service", () => {
     const replicas = buildReplicas(4);
     for (const replica of replicas) noteLatency(replica, 0.3);
     noteLatency(replicas[0]!, 3);
     updateEjections(replicas, 0);
     expect(replicas[0]!.ejected).toBe(true);
-    expect(chooseReplica(replicas, { requirements: WISH, now: 100 }))
+    expect(chooseReplica(replicas, { requirements: REQUIREMENTS, now: 100 }))
       .not.toBe(replicas[0]);
-    expect(chooseReplica(replicas, { requirements: WISH, now: 3_000 }))
+    expect(chooseReplica(replicas, { requirements: REQUIREMENTS, now: 3_000 }))
       .toBe(replicas[0]);
     noteLatency(replicas[0]!, 0.3);
     updateEjections(replicas, 4_000);
     expect(replicas[0]!.ejected).toBe(false);
   });
 
-  test("waits longer after each probe that fails", () => {
+  test("waits longer after each failed probe", () => {
     const replicas = buildReplicas(4);
     for (const replica of replicas) noteLatency(replica, 0.3);
     replicas[0]!.latency.noteFailure();
@@ -241,7 +240,7 @@
     expect(replicas[0]!.probeAt - first).toBeGreaterThan(first);
   });
 
-  test("keeps a floor of replicas in service", () => {
+  test("keeps a minimum share of the replicas in service", () => {
     const replicas = buildReplicas(4);
     for (const replica of replicas) {
       replica.latency.noteFailure();
@@ -251,7 +250,7 @@
     expect(replicas.filter((replica) => !replica.ejected).length).toBe(2);
   });
 
-  test("goes below the floor for replicas that are silent too", () => {
+  test("goes below the minimum share if failing replicas are silent", () => {
     const replicas = buildReplicas(3);
     for (const replica of replicas) {
       replica.latency.noteFailure();
--- a/test/process/scheduler/shards_test.ts
+++ b/test/process/scheduler/shards_test.ts
@@ -13,10 +13,10 @@
 );
 
 describe("chooseShardOfUpstream", () => {
-  // Symptom: an upstream stands in a shard that the pool no longer has, and
-  // gets no work. Sequence: the answer is kept, then the records give the pool
-  // another number of shards. Cause: answers kept by the pool's name.
-  it("follows a changed number of shards, however often it was asked", () => {
+  // Guards against an upstream that gets no work because its cached shard no
+  // longer exists: the number of shards can change, so that results must be
+  // cached per pool record, not per pool name.
+  it("uses the pool's current number of shards despite the cache", () => {
     const few = buildPool({ shards: 3 });
     const many = buildPool({ shards: 17 });
     for (const pool of [few, many, few, many]) {
@@ -30,7 +30,7 @@
     }
   });
 
-  it("gives the first shard of a pool that has one", () => {
+  it("returns the only shard of a pool with one shard", () => {
     const pool = buildPool({ shards: 1 });
     for (const upstream of UPSTREAMS) {
       expect(chooseShardOfUpstream(pool, upstream)).toBe("pool/0");
--- a/test/process/scheduler/small_fleet.ts
+++ b/test/process/scheduler/small_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * A few VMs with owners and lease clients, joined by fake channels.
+ * A few VMs with shard owners and lease clients, connected by fake channels.
  *
  * @module
  */
@@ -41,7 +41,7 @@
   membership: FakeMembership;
 }
 
-/** What a request under test became. */
+/** The outcome of a request under test. */
 export interface Outcome {
   lease: HeldLease | undefined;
   error: unknown;
@@ -49,12 +49,12 @@
   steps: string[];
 }
 
-/** The fleet, in one virtual time. */
+/** The fleet, running in virtual time. */
 export class SmallFleet {
   readonly clock = JumpingClock.create();
   readonly vms: FleetVm[] = [];
-  /** VMs whose messages are swallowed in both directions. */
-  readonly silent = new Set<VmId>();
+  /** VMs whose messages are dropped in both directions. */
+  readonly disconnected = new Set<VmId>();
   readonly snapshot: Snapshot;
   #requests = 0;
 
@@ -109,20 +109,21 @@
     return fleet;
   }
 
-  /** The VM that owns the one shard by the view of the first VM alive. */
+  /** The owner of the only shard in the view of the first connected VM. */
   getOwner(): FleetVm {
-    const view = this.vms.find((vm) => !this.silent.has(vm.id))!.membership;
+    const view =
+      this.vms.find((vm) => !this.disconnected.has(vm.id))!.membership;
     const owner = view.findOwner(buildShardKey(buildShardId(toId("pool"), 0)));
     return this.vms.find((vm) => vm.id === owner)!;
   }
 
-  /** The VMs that do not own the shard. */
+  /** Lists the VMs that do not own the shard. */
   listOthers(): FleetVm[] {
     const owner = this.getOwner();
     return this.vms.filter((vm) => vm !== owner);
   }
 
-  /** Every VM now believes that `id` does not answer. */
+  /** Marks `id` as unreachable in the membership view of every other VM. */
   noteUnreachable(id: VmId): void {
     for (const vm of this.vms) {
       if (vm.id === id) continue;
@@ -131,7 +132,7 @@
     }
   }
 
-  ask(vm: FleetVm, changes: Partial<LeaseRequest> = {}): Outcome {
+  acquire(vm: FleetVm, changes: Partial<LeaseRequest> = {}): Outcome {
     const outcome: Outcome = {
       lease: undefined,
       error: undefined,
@@ -174,7 +175,7 @@
   }
 }
 
-/** Gives a lease back as done. */
+/** Releases the lease as done. */
 export function releaseDone(outcome: Outcome): void {
   outcome.lease!.release("done", {
     tokens: 10,
@@ -194,8 +195,8 @@
   }
 
   getPeer(vm: VmId): PeerApi {
-    const { clock, silent, vms } = this.#fleet;
-    const isCut = () => silent.has(vm) || silent.has(this.#from);
+    const { clock, disconnected, vms } = this.#fleet;
+    const isCut = () => disconnected.has(vm) || disconnected.has(this.#from);
     const send = async <T>(answer: (peer: PeerApi) => Promise<T>) => {
       await clock.sleep(CHANNEL_MS);
       if (isCut()) return await waitForever();
--- a/test/process/scheduler/waiting_queue_test.ts
+++ b/test/process/scheduler/waiting_queue_test.ts
@@ -17,14 +17,14 @@
   { name: "summary", rank: 1, maxWaitMs: 3_000, minShare: 0.1 },
   { name: "batch", rank: 2, maxWaitMs: 10_000, minShare: 0.05 },
 ];
-const LANES = ["small", "large"];
+const MODELS = ["small", "large"];
 const SLOTS = 4;
 const RUNS = 500;
 
-interface EntrySeed {
+interface EntrySpec {
   kind: number;
   workspace: number;
-  lane: number;
+  model: number;
   startsIn: number;
   agedMs: number;
   cost: number;
@@ -33,8 +33,13 @@
 }
 
 type Step =
-  | { kind: "add"; seed: EntrySeed }
-  | { kind: "grant"; lanes: boolean[]; closedRank: number; promote: boolean }
+  | { kind: "add"; seed: EntrySpec }
+  | {
+    kind: "grant";
+    acceptsModel: boolean[];
+    closedRank: number;
+    promote: boolean;
+  }
   | { kind: "remove"; pick: number }
   | { kind: "correct"; pick: number; tokens: number }
   | { kind: "wait"; ms: number };
@@ -42,7 +47,7 @@
 const SEED = fc.record({
   kind: fc.nat(CLASSES.length - 1),
   workspace: fc.nat(3),
-  lane: fc.nat(1),
+  model: fc.nat(1),
   startsIn: fc.integer({ min: -500, max: 3_000 }),
   agedMs: fc.nat(500),
   cost: fc.integer({ min: 1, max: 300 }),
@@ -59,7 +64,7 @@
     weight: 4,
     arbitrary: fc.record({
       kind: fc.constant("grant" as const),
-      lanes: fc.tuple(fc.boolean(), fc.boolean()),
+      acceptsModel: fc.tuple(fc.boolean(), fc.boolean()),
       closedRank: fc.constantFrom(-1, -1, -1, 0, 1),
       promote: fc.boolean(),
     }),
@@ -88,27 +93,36 @@
   },
 );
 
-/** The same step in one class and lane, with nothing that keeps grants out. */
+/** The same step for a single class and model, with every grant allowed. */
 function buildCrowdedStep(step: Step): Step {
   if (step.kind === "add") {
-    return { kind: "add", seed: { ...step.seed, kind: 0, lane: 0 } };
+    return { kind: "add", seed: { ...step.seed, kind: 0, model: 0 } };
   }
   if (step.kind !== "grant") return step;
-  return { kind: "grant", lanes: [true, true], closedRank: -1, promote: true };
+  return {
+    kind: "grant",
+    acceptsModel: [true, true],
+    closedRank: -1,
+    promote: true,
+  };
 }
 
-function buildEntry(seed: EntrySeed, now: number, order: number): QueueEntry {
+function buildEntry(
+  seed: EntrySpec,
+  now: number,
+  sequence: number,
+): QueueEntry {
   const kind = CLASSES[seed.kind]!;
   return {
-    ticket: toId(`ticket-${order}`),
+    ticket: toId(`ticket-${sequence}`),
     className: toId<ClassName>(kind.name),
     workspace: toId(`workspace-${seed.workspace}`),
-    modelKey: LANES[seed.lane]!,
+    modelKey: MODELS[seed.model]!,
     rank: kind.rank,
     requestClass: buildClass(kind.name, kind as never),
     weight: 1 + seed.workspace % 2,
     arrivedAt: now - seed.agedMs,
-    sequence: order,
+    sequence,
     startBy: now + seed.startsIn,
     dropAt: Infinity,
     isResumed: false,
@@ -122,27 +136,27 @@
   step: Extract<Step, { kind: "grant" }>,
 ): GrantFilter<QueueEntry> {
   return {
-    isOpen: (rank) => rank !== step.closedRank,
+    isTierOpen: (rank) => rank !== step.closedRank,
     canPromote: () => step.promote,
-    accepts: (entry) => step.lanes[LANES.indexOf(entry.modelKey)]!,
+    accepts: (entry) => step.acceptsModel[MODELS.indexOf(entry.modelKey)]!,
   };
 }
 
-/** Runs `steps` against both queues; gives the first difference. */
+/** Runs `steps` against both queues and fails at the first difference. */
 function runBoth(
   steps: Step[],
-  decisions: { fairShare: boolean; progress: boolean },
+  features: { fairShare: boolean; progress: boolean },
 ): void {
-  const queue = WaitingQueue.create<QueueEntry>(buildFeatures(decisions));
-  const naive = new NaiveQueue(decisions);
+  const queue = WaitingQueue.create<QueueEntry>(buildFeatures(features));
+  const naive = new NaiveQueue(features);
   const granted: QueueEntry[] = [];
   let now = 0;
-  let order = 0;
+  let sequence = 0;
   for (const step of steps) {
     if (step.kind === "wait") {
       now += step.ms;
     } else if (step.kind === "add") {
-      const entry = buildEntry(step.seed, now, order++);
+      const entry = buildEntry(step.seed, now, sequence++);
       queue.add(entry, now);
       naive.add(entry, now);
     } else if (step.kind === "remove") {
@@ -160,8 +174,8 @@
       queue.noteFinished(entry, cost);
       naive.noteFinished(entry, cost);
     } else {
-      queue.addShare(now, SLOTS);
-      naive.addShare(now, SLOTS);
+      queue.addCredit(now, SLOTS);
+      naive.addCredit(now, SLOTS);
       const filter = buildFilter(step);
       const next = queue.findNext(now, filter);
       const expected = naive.findNext(now, filter);
@@ -177,16 +191,16 @@
   }
 }
 
-describe("WaitingQueue against a naive sorted list", () => {
+describe("WaitingQueue compared with a sorted list", () => {
   const steps = fc.array(STEP, { minLength: 1, maxLength: 80 });
 
   function checkRuns(
     runs: fc.Arbitrary<Step[]>,
     options: { seed: number; fairShare: boolean; progress: boolean },
   ): void {
-    const { seed, ...decisions } = options;
+    const { seed, ...features } = options;
     fc.assert(
-      fc.property(runs, (run) => runBoth(run, decisions)),
+      fc.property(runs, (run) => runBoth(run, features)),
       { seed, numRuns: RUNS },
     );
   }
@@ -195,11 +209,11 @@
     checkRuns(steps, { seed: 1, fairShare: false, progress: false });
   });
 
-  test("shares between workspaces", () => {
+  test("shares fairly between workspaces", () => {
     checkRuns(steps, { seed: 2, fairShare: true, progress: false });
   });
 
-  test("shares between workspaces that all have much waiting", () => {
+  test("shares fairly between workspaces with large backlogs", () => {
     const crowded = fc.array(
       STEP.map((step) => buildCrowdedStep(step)),
       { minLength: 60, maxLength: 160 },
@@ -207,18 +221,20 @@
     checkRuns(crowded, { seed: 5, fairShare: true, progress: false });
   });
 
-  test("lets due and owed classes go first", () => {
+  test("grants due classes and classes with credit first", () => {
     checkRuns(steps, { seed: 3, fairShare: true, progress: true });
   });
 });
 
-describe("WaitingQueue at shedding", () => {
-  test("never names a victim above the lowest tier that waits", () => {
+describe("WaitingQueue shedding", () => {
+  test("chooses victims only from the lowest waiting tier", () => {
     const seeds = fc.array(SEED, { minLength: 1, maxLength: 40 });
     fc.assert(
       fc.property(seeds, (run) => {
         const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
-        run.forEach((seed, order) => queue.add(buildEntry(seed, 0, order), 0));
+        run.forEach((seed, sequence) =>
+          queue.add(buildEntry(seed, 0, sequence), 0)
+        );
         while (queue.size > 0) {
           const ranks = [...queue.list()].map((entry) => entry.rank);
           const victim = queue.findShedVictim()!;
@@ -230,11 +246,11 @@
     );
   });
 
-  test("sheds the head of a class last of its tier", () => {
+  test("sheds the head of a class after the rest of its tier", () => {
     const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
-      lane: 0,
+      model: 0,
       startsIn: 0,
       agedMs: 0,
       cost: 1,
@@ -249,33 +265,32 @@
   });
 });
 
-describe("WaitingQueue under a flood of a higher tier", () => {
-  // Symptom: a low class waits for ever. Sequence: a higher tier always has
-  // more waiting than there are slots. Cause: strict tiers alone never reach
-  // the class.
+describe("WaitingQueue while a higher tier is overloaded", () => {
+  // Guards against starvation: while a higher tier always has more requests
+  // than there are slots, strict tier priority alone never grants a low class.
   test("grants each head of a low class within its wait bound", () => {
     const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
-      lane: 0,
+      model: 0,
       startsIn: 100_000,
       agedMs: 0,
       cost: 10,
       isLearnt: true,
       slotMs: 100_000,
     };
-    let order = 0;
+    let sequence = 0;
     const lows = [0, 1, 2].map(() =>
-      buildEntry({ ...seed, kind: 3 }, 0, order++)
+      buildEntry({ ...seed, kind: 3 }, 0, sequence++)
     );
     for (const low of lows) queue.add(low, 0);
     const grantedAt: number[] = [];
     const everyMs = 500;
     for (let now = 0; now <= 40_000; now += everyMs) {
-      queue.add(buildEntry({ ...seed, kind: 0 }, now, order++), now);
-      queue.addShare(now, SLOTS);
+      queue.add(buildEntry({ ...seed, kind: 0 }, now, sequence++), now);
+      queue.addCredit(now, SLOTS);
       const next = queue.findNext(now, {
-        isOpen: () => true,
+        isTierOpen: () => true,
         canPromote: () => true,
         accepts: () => true,
       })!;
@@ -286,11 +301,11 @@
     expect(grantedAt).toEqual([dueMs, 2 * dueMs, 3 * dueMs]);
   });
 
-  test("gives a low class its minimum share and no more", () => {
+  test("grants a low class its minimum share and no more", () => {
     const queue = WaitingQueue.create<QueueEntry>(buildFeatures());
     const seed = {
       workspace: 0,
-      lane: 0,
+      model: 0,
       startsIn: 1_000_000,
       agedMs: 0,
       cost: 10,
@@ -298,13 +313,13 @@
       slotMs: 1_000,
     };
     const grants = 800;
-    let order = 0;
+    let sequence = 0;
     let low = 0;
     for (let count = 0; count < grants; count++) {
-      queue.add(buildEntry({ ...seed, kind: 0 }, 0, order++), 0);
+      queue.add(buildEntry({ ...seed, kind: 0 }, 0, sequence++), 0);
       queue.add(
         {
-          ...buildEntry({ ...seed, kind: 2 }, 0, order++),
+          ...buildEntry({ ...seed, kind: 2 }, 0, sequence++),
           requestClass: buildClass("summary", {
             minShare: 0.1,
             maxWaitMs: 1e9,
@@ -313,12 +328,12 @@
         0,
       );
     }
-    // Four slots of a second each: a grant every 250 ms.
+    // Four slots with requests of one second: a grant every 250 ms.
     for (let count = 0; count < grants; count++) {
       const now = count * 250;
-      queue.addShare(now, SLOTS);
+      queue.addCredit(now, SLOTS);
       const next = queue.findNext(now, {
-        isOpen: () => true,
+        isTierOpen: () => true,
         canPromote: () => true,
         accepts: () => true,
       })!;
