--- a/src/errors.ts
+++ b/src/errors.ts
@@ -1,40 +1,40 @@
 /**
- * Errors that say at which step and peer they arose.
+ * Errors that carry the step and the peer at which they occurred.
  *
  * @module
  */
 import verror from "verror";
 
-/** Where an error arose. */
+/** The context in which an error occurred. */
 export interface ErrorContext {
   /** The step of the work, for example `acquire` or `upstream_write`. */
   step: string;
-  /** The VM or upstream on the other side, when there is one. */
+  /** The remote VM or upstream, if there is one. */
   peer?: string;
   cause?: Error;
 }
 
-/** An error with the step and the peer at which it arose. */
+/** An error with the step and the peer at which it occurred. */
 export class StepError extends verror.VError {
   readonly step: string;
   readonly peer: string | undefined;
 
-  constructor(place: ErrorContext, message: string) {
+  constructor(context: ErrorContext, message: string) {
     super(
       {
         name: "StepError",
-        cause: place.cause,
-        info: { step: place.step, peer: place.peer },
+        cause: context.cause,
+        info: { step: context.step, peer: context.peer },
       },
       "%s",
       message,
     );
-    this.step = place.step;
-    this.peer = place.peer;
+    this.step = context.step;
+    this.peer = context.peer;
   }
 }
 
-/** Turns whatever was thrown into an `Error`. */
+/** Converts a thrown value to an `Error`. */
 export function toError(thrown: unknown): Error {
   return thrown instanceof Error ? thrown : new Error(String(thrown));
 }
--- a/src/ids.ts
+++ b/src/ids.ts
@@ -1,45 +1,47 @@
 /**
- * Branded identifiers: a string of one kind cannot be passed for another.
+ * Branded identifiers: string types that are not interchangeable.
  *
  * @module
  */
 
-/** A value of type `T` that only counts as `Name`. */
+/** A `T` that is distinct from other brands of `T`. */
 export type Brand<T, Name extends string> = T & { readonly __brand: Name };
 
-/** An entry VM or an upstream VM, as the membership list names it. */
+/** The name of an entry VM or an upstream VM in the membership list. */
 export type VmId = Brand<string, "VmId">;
-/** One life of a process on a VM; a restart gets another. */
+/**
+ * One process on a VM, from its start to its end; each restart gets a new one.
+ */
 export type Incarnation = Brand<string, "Incarnation">;
-/** A data centre, as the settings and the membership list name it. */
+/** The name of a data centre in the settings and the membership list. */
 export type DataCentre = Brand<string, "DataCentre">;
-/** A region, as the settings name it; it has several data centres. */
+/** The name of a region, which groups data centres, in the settings. */
 export type Region = Brand<string, "Region">;
-/** A workspace's name in the records. */
+/** The name of a workspace in the records. */
 export type WorkspaceName = Brand<string, "WorkspaceName">;
-/** A request class's name in the records. */
+/** The name of a request class in the records. */
 export type ClassName = Brand<string, "ClassName">;
-/** A tier's name in the records. */
+/** The name of a tier in the records. */
 export type TierName = Brand<string, "TierName">;
-/** An upstream pool's name in the records. */
+/** The name of an upstream pool in the records. */
 export type PoolName = Brand<string, "PoolName">;
-/** A model's name, as callers send it. */
+/** The name of a model, as callers send it. */
 export type ModelName = Brand<string, "ModelName">;
-/** One request for good: names the VM and incarnation that issued it. */
+/** Identifies a request; includes the VM and incarnation that issued it. */
 export type RequestId = Brand<string, "RequestId">;
-/** One request however often it is sent: what its callers repeat. */
+/** A hash of a request's content, the same each time a caller sends it. */
 export type RequestFingerprint = Brand<string, "RequestFingerprint">;
-/** One try of a request in a shard's queue. */
+/** Identifies one attempt of a request in a shard's queue. */
 export type TicketId = Brand<string, "TicketId">;
-/** One slot granted on one replica. */
+/** Identifies the lease of one slot on one replica. */
 export type LeaseId = Brand<string, "LeaseId">;
-/** A shard of a pool, written `POOL/INDEX`. */
+/** Identifies a shard of a pool, as `POOL/INDEX`. */
 export type ShardId = Brand<string, "ShardId">;
 
-/** A route's name in the records. */
+/** The name of a route in the records. */
 export type RouteName = Brand<string, "RouteName">;
 
-/** Every identifier that is a string. */
+/** Any branded identifier. */
 export type AnyId =
   | VmId
   | Incarnation
@@ -57,7 +59,7 @@
   | ShardId
   | RouteName;
 
-/** Brands `text` at a boundary where its kind is known. */
+/** Brands a text that is known to be an identifier of type `T`. */
 export function toId<T extends AnyId>(text: string): T {
   return text as T;
 }
--- a/src/outcome.ts
+++ b/src/outcome.ts
@@ -1,17 +1,17 @@
 /**
- * What a caller is told about a request that was not answered in full.
+ * Refusals: why a request was not answered, and whether it ran.
  *
  * @module
  */
 
 /**
- * Whether the work ran. `not_run` is said only when provable: no byte of the
- * request was written to an upstream, or the upstream's documented answer says
- * that it did nothing.
+ * Whether the work ran. `not_run` requires proof: either no byte of the request
+ * was written to an upstream, or the upstream's documented answer states that
+ * it did not start the work.
  */
 export type RunOutcome = "not_run" | "ran" | "unknown";
 
-/** Stable machine-readable causes; docs/CALLING.md lists them. */
+/** Stable machine-readable causes, documented in docs/CALLING.md. */
 export type RefusalCode =
   | "bad_request"
   | "unauthorized"
@@ -36,16 +36,16 @@
   | "cancelled"
   | "internal";
 
-/** A truthful refusal, as given to the caller. */
+/** A refusal, as returned to the caller. */
 export interface Refusal {
   code: RefusalCode;
   message: string;
   outcome: RunOutcome;
-  /** When the caller may come back, in milliseconds; absent if never. */
+  /** Delay before a retry, in milliseconds; absent if a retry is useless. */
   retryAfterMs?: number;
 }
 
-/** A refusal that unwinds the request's task. */
+/** Thrown to end a request with a refusal. */
 export class RefusalError extends Error {
   readonly refusal: Refusal;
 
--- a/src/process/answer_store.ts
+++ b/src/process/answer_store.ts
@@ -1,5 +1,5 @@
 /**
- * Whole answers kept for resubmission, bounded in bytes.
+ * Stores complete answers for resubmissions, up to a size limit.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 const DEFAULT_MAX_ANSWER_BYTES = 256 * 1024;
 const ENTRY_BYTES = 400;
 
-/** Answers by request id; the oldest go first. */
+/** Answers by request id; the oldest are evicted first. */
 export class AnswerStore {
-  /** Larger bodies are not kept. */
+  /** Larger answers are not stored. */
   readonly maxAnswerBytes: number;
   readonly #maxBytes: number;
   readonly #answers = new Map<RequestId, RetainedAnswer>();
@@ -32,12 +32,12 @@
     );
   }
 
-  /** A rough count of the bytes held. */
+  /** Approximate size of the stored answers, in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Keeps the answer of an id that has none yet. */
+  /** Stores an answer, unless the id has one already. */
   put(requestId: RequestId, answer: RetainedAnswer): void {
     if (this.#answers.has(requestId)) return;
     this.#answers.set(requestId, answer);
--- a/src/process/execution_claims.ts
+++ b/src/process/execution_claims.ts
@@ -1,9 +1,10 @@
 /**
- * At most one run for each request id, over callers' resubmissions.
+ * Claims that allow at most one execution of each request id, however often the
+ * caller submits it.
  *
- * The VM that issued an id records for good who may run it, so two entry VMs
- * that cannot see each other cannot both run it. When that incarnation is gone
- * or cannot be asked, nothing runs and the answer is "unknown".
+ * The VM that issued an id decides which VM may execute it, so two entry VMs
+ * that cannot reach each other cannot both do so. If that incarnation has ended
+ * or cannot be reached, nothing is executed and the outcome is `unknown`.
  *
  * @module
  */
@@ -20,26 +21,26 @@
 } from "./request_ids.ts";
 import { ExecutionClaims } from "./services.ts";
 
-/** How long an id may be submitted after it was issued. */
+/** Time after its issue during which an id may be submitted. */
 export const ID_TTL_MS = 15 * 60_000;
-/** How long a granted claim lets its holder send. */
+/** Time after the grant of a claim during which its holder may send. */
 export const CLAIM_TTL_MS = 5 * 60_000;
-/** Claimed ids that one VM remembers. */
+/** Limit on claims that one VM stores. */
 const MAX_CLAIMS = 50_000;
-/** Nonces of claims that ended as not run, kept for each id. */
+/** Nonces of claims settled as `not_run`, stored for each id. */
 const MAX_ENDED_NONCES = 8;
-const CLAIM_TRIES = 3;
+const CLAIM_ATTEMPTS = 3;
 const CLAIM_RETRY_MS = 50;
-const SETTLE_TRIES = 8;
+const SETTLE_ATTEMPTS = 8;
 const SETTLE_RETRY_MS = 200;
 const SECRET_LENGTH = 64;
 const NONCE_LENGTH = 24;
 
-/** What the issuing VM remembers of one claimed id. */
+/** A claim, as stored by the VM that issued the id. */
 interface Claim {
   sequence: number;
   issuedAt: number;
-  /** Who may run it; undefined while no claim stands. */
+  /** The VM that may execute the request; undefined if no claim is valid. */
   holder: { vm: VmId; nonce: string } | undefined;
   outcome: RunOutcome | "running" | "answered";
   endedNonces: string[];
@@ -47,18 +48,20 @@
 
 type ClaimResult = Awaited<ReturnType<ExecutionClaims["claimExecution"]>>;
 
-/** The claims of one process: on its own ids, and for its own runs. */
+/** Claims on ids that this process issued, and claims that it holds. */
 export class ProcessExecutionClaims extends ExecutionClaims {
   readonly #environment: Environment;
   readonly #secret: string;
   /** By id, oldest claim first. */
   readonly #claims = new Map<RequestId, Claim>();
-  /** Nonces of the runs that this VM holds, until they are settled. */
+  /** Nonces of the claims that this VM holds, until they are settled. */
   readonly #ownNonces = new Map<RequestId, string>();
   readonly #maxClaims: number;
   #nextSequence = 1;
-  /** Ids up to this sequence may have been forgotten: they never run. */
-  #forgottenUpTo = 0;
+  /**
+   * Claims up to this sequence may have been evicted: their ids are refused.
+   */
+  #evictedUpTo = 0;
   #unsettled = 0;
 
   constructor(environment: Environment, maxClaims: number) {
@@ -78,7 +81,7 @@
     );
   }
 
-  /** Settlements that the issuing VMs have not taken yet. */
+  /** Settlements that the issuing VMs have not acknowledged. */
   get unsettledCount(): number {
     return this.#unsettled;
   }
@@ -95,15 +98,15 @@
     const parts = parseRequestId(requestId);
     if (parts === undefined || parts.isSingle) return { kind: "unknown_id" };
     const nonce = this.#environment.random.nextHex(NONCE_LENGTH);
-    // The time to live counts from before the ask: an answer that waits in a
-    // buffer while this process is paused must not look fresh.
-    const askedAt = this.#environment.clock.now();
-    const answer = await this.#askIssuer(parts, { requestId, nonce });
+    // The TTL starts before the call: an answer that waits in a buffer while
+    // this process is paused must not extend the claim.
+    const requestedAt = this.#environment.clock.now();
+    const answer = await this.#sendClaim(parts, { requestId, nonce });
     if (answer.kind !== "granted") return answer;
     this.#ownNonces.set(requestId, nonce);
-    const standsUntil = askedAt + answer.ttlMs;
+    const validUntil = requestedAt + answer.ttlMs;
     const clock = this.#environment.clock;
-    return { kind: "granted", isStanding: () => clock.now() < standsUntil };
+    return { kind: "granted", isValid: () => clock.now() < validUntil };
   }
 
   settleExecution(
@@ -117,15 +120,15 @@
     this.#sendSettle(parts.vm, { requestId, nonce, outcome });
   }
 
-  /** Answers another VM's (or this VM's own) claim on an id issued here. */
-  answerClaim(call: ClaimCall): ClaimAnswer {
+  /** Handles a claim, by any VM, on an id that this VM issued. */
+  handleClaim(call: ClaimCall): ClaimAnswer {
     const parts = this.#checkOwnId(call.requestId);
     if (parts === undefined) return { kind: "unknown_id" };
     const claim = this.#claims.get(call.requestId) ??
       this.#addClaim(call.requestId, parts);
     if (claim.holder?.nonce === call.nonce) return grantClaim();
-    // A repeat of a claim that ended, late on the network: granting it would
-    // leave the id taken by a run that nobody is doing.
+    // A delayed duplicate of a settled claim: granting it would leave the id
+    // claimed although no VM executes the request.
     const isStale = claim.endedNonces.includes(call.nonce);
     if (claim.holder === undefined && !isStale) {
       claim.holder = { vm: call.from.vm, nonce: call.nonce };
@@ -139,8 +142,8 @@
     };
   }
 
-  /** Takes the outcome of a run that was claimed here. */
-  answerSettle(call: SettleCall): void {
+  /** Records the outcome of an execution that was claimed here. */
+  handleSettlement(call: SettleCall): void {
     const parts = this.#checkOwnId(call.requestId);
     if (parts === undefined) return;
     const known = this.#claims.get(call.requestId);
@@ -149,8 +152,8 @@
       if (isHolder && known.outcome === "running") known.outcome = call.outcome;
       return;
     }
-    // The settlement may overtake its own claim; the ended nonce is kept even
-    // then, so that the claim finds it when it arrives.
+    // The settlement may arrive before its claim. Its nonce is stored even
+    // then, so that the late claim is not granted.
     const claim = known ?? this.#addClaim(call.requestId, parts);
     const isOther = claim.holder !== undefined &&
       claim.holder.nonce !== call.nonce;
@@ -160,12 +163,12 @@
     claim.outcome = "not_run";
   }
 
-  /** The VM that runs or ran an id issued here, where it is remembered. */
+  /** The VM that executes or executed an id issued here, if stored. */
   findRunner(requestId: RequestId): VmId | undefined {
     return this.#claims.get(requestId)?.holder?.vm;
   }
 
-  /** Whether the id was issued here, is remembered, and nobody holds it. */
+  /** Whether the id was issued here, is still valid, and is unclaimed. */
   isFree(requestId: RequestId): boolean {
     return this.#checkOwnId(requestId) !== undefined &&
       this.findRunner(requestId) === undefined;
@@ -181,19 +184,19 @@
     );
   }
 
-  async #askIssuer(
+  async #sendClaim(
     parts: RequestIdParts,
     claim: { requestId: RequestId; nonce: string },
   ): Promise<ClaimAnswer | Extract<ClaimResult, { kind: "unreachable" }>> {
     const { vm, incarnation, clock, peers } = this.#environment;
     const call: ClaimCall = { from: { vm, incarnation }, ...claim };
     if (parts.vm === vm) {
-      if (parts.incarnation === incarnation) return this.answerClaim(call);
-      const why = "The VM that issued the id was restarted since";
+      if (parts.incarnation === incarnation) return this.handleClaim(call);
+      const why = "The VM that issued the id has restarted since";
       return { kind: "unreachable", issuer: vm, why };
     }
     let why = "";
-    for (let attempt = 1; attempt <= CLAIM_TRIES; attempt++) {
+    for (let attempt = 1; attempt <= CLAIM_ATTEMPTS; attempt++) {
       if (attempt > 1) await clock.sleep(CLAIM_RETRY_MS);
       try {
         return await peers.getPeer(parts.vm).claimRun(call);
@@ -201,8 +204,8 @@
         why = toError(thrown).message;
       }
     }
-    // One of the asks may have been granted with its answer lost. Nothing will
-    // run under this nonce, so the id is given back.
+    // A call may have been granted although its answer was lost. Nothing will
+    // be executed under this nonce, so the claim is released.
     this.#sendSettle(parts.vm, { ...claim, outcome: "not_run" });
     return { kind: "unreachable", issuer: parts.vm, why };
   }
@@ -211,7 +214,7 @@
     const { vm, incarnation } = this.#environment;
     const call: SettleCall = { from: { vm, incarnation }, ...settle };
     if (issuer === vm) {
-      this.answerSettle(call);
+      this.handleSettlement(call);
       return;
     }
     this.#unsettled++;
@@ -221,7 +224,7 @@
   async #settleWithRetries(issuer: VmId, call: SettleCall): Promise<void> {
     const { clock, peers, log } = this.#environment;
     let delayMs = SETTLE_RETRY_MS;
-    for (let attempt = 1; attempt <= SETTLE_TRIES; attempt++) {
+    for (let attempt = 1; attempt <= SETTLE_ATTEMPTS; attempt++) {
       try {
         await peers.getPeer(issuer).settleRun(call);
         return;
@@ -243,7 +246,7 @@
     });
   }
 
-  /** The parts of an id that this incarnation issued and still answers for. */
+  /** The parts of an id that this incarnation issued and still accepts. */
   #checkOwnId(requestId: RequestId): RequestIdParts | undefined {
     const { vm, incarnation, clock } = this.#environment;
     const parts = parseRequestId(requestId);
@@ -251,7 +254,7 @@
     if (parts.vm !== vm || parts.incarnation !== incarnation) return undefined;
     if (!hasValidCode(parts, this.#secret)) return undefined;
     if (clock.now() - parts.issuedAt >= ID_TTL_MS) return undefined;
-    return parts.sequence > this.#forgottenUpTo ? parts : undefined;
+    return parts.sequence > this.#evictedUpTo ? parts : undefined;
   }
 
   #addClaim(requestId: RequestId, parts: RequestIdParts): Claim {
@@ -268,16 +271,16 @@
   }
 
   /**
-   * Bounds the memory. A claim that is merely forgotten could be granted a
-   * second time, seen as a doubled run; raising the sequence below which ids
-   * are unknown makes each forgotten id one that never runs again.
+   * Evicts expired claims, and the oldest ones beyond the limit. An evicted id
+   * must not be granted again, which would be a duplicate execution, so all ids
+   * up to its sequence are refused from then on.
    */
   #removeExpired(): void {
     const now = this.#environment.clock.now();
     for (const [requestId, claim] of this.#claims) {
       const isExpired = now - claim.issuedAt >= ID_TTL_MS;
       if (!isExpired && this.#claims.size < this.#maxClaims) return;
-      this.#forgottenUpTo = Math.max(this.#forgottenUpTo, claim.sequence);
+      this.#evictedUpTo = Math.max(this.#evictedUpTo, claim.sequence);
       this.#claims.delete(requestId);
     }
   }
--- a/src/process/local_peer.ts
+++ b/src/process/local_peer.ts
@@ -84,11 +84,11 @@
   }
 
   async claimRun(call: ClaimCall): Promise<ClaimAnswer> {
-    return await this.#getParts().claims.answerClaim(call);
+    return await this.#getParts().claims.handleClaim(call);
   }
 
   async settleRun(call: SettleCall): Promise<void> {
-    await this.#getParts().claims.answerSettle(call);
+    await this.#getParts().claims.handleSettlement(call);
   }
 
   async findFate(call: RequestStatusCall): Promise<RequestStatusAnswer> {
--- a/src/process/request_ids.ts
+++ b/src/process/request_ids.ts
@@ -1,12 +1,11 @@
 /**
- * Request ids: who issued them, and proof that they did.
+ * Request ids, which name and authenticate the VM that issued them.
  *
- * An id is `r~VM~INCARNATION~SEQUENCE~ISSUED~CODE`, or `s~…` where it may be
- * submitted only once. The parts after the VM
- * never hold a `~`, so an id is read from its end and a VM's name may hold
- * dashes, dots and anything else a header can carry. `CODE` is keyed with a
- * secret of the incarnation: an id can be checked without keeping it, so
- * issuing costs no memory, and nobody can guess another caller's id.
+ * An id is `r~VM~INCARNATION~SEQUENCE~ISSUED~CODE`, or `s~…` for a single-use
+ * id. The parts after the VM contain no `~`, so ids are parsed from the end,
+ * and a VM's name may contain any character that is valid in a header. `CODE`
+ * is an HMAC under a secret of the incarnation: an id can be verified without
+ * being stored, and another caller's id cannot be guessed.
  *
  * @module
  */
@@ -22,20 +21,20 @@
 const NUMBER_PATTERN = /^[0-9a-z]{1,11}$/;
 const PRINTABLE_PATTERN = /^[\x21-\x7e]+$/;
 
-/** What an id says of itself. */
+/** The parts of an id. */
 export interface RequestIdParts {
   vm: VmId;
   incarnation: Incarnation;
-  /** Whether the id goes with one submission and no other. */
+  /** Whether the id belongs to one submission and cannot be resubmitted. */
   isSingle: boolean;
-  /** Counts the ids of one incarnation. */
+  /** Sequence number within the incarnation. */
   sequence: number;
   /** The issuer's monotonic time in whole milliseconds. */
   issuedAt: number;
   code: string;
 }
 
-/** Writes an id; `secret` is known to the issuing incarnation alone. */
+/** Formats an id; only the issuing incarnation has `secret`. */
 export function formatRequestId(
   parts: Omit<RequestIdParts, "code">,
   secret: string,
@@ -44,7 +43,7 @@
   return toId<RequestId>(stem + SEPARATOR + computeCode(stem, secret));
 }
 
-/** Reads an id; undefined when it is not one of ours by its shape. */
+/** Parses an id; undefined if its format is invalid. */
 export function parseRequestId(text: string): RequestIdParts | undefined {
   if (text.length > MAX_ID_LENGTH || !PRINTABLE_PATTERN.test(text)) {
     return undefined;
@@ -71,8 +70,8 @@
 /** Whether the incarnation that holds `secret` issued the id. */
 export function hasValidCode(parts: RequestIdParts, secret: string): boolean {
   const expected = Buffer.from(computeCode(formatStem(parts), secret));
-  const given = Buffer.from(parts.code);
-  return given.length === expected.length && timingSafeEqual(given, expected);
+  const actual = Buffer.from(parts.code);
+  return actual.length === expected.length && timingSafeEqual(actual, expected);
 }
 
 function formatStem(parts: Omit<RequestIdParts, "code">): string {
--- a/src/process/request_status_finder.ts
+++ b/src/process/request_status_finder.ts
@@ -1,5 +1,5 @@
 /**
- * Finds a request's fate: here, else at the VM that its id names.
+ * Finds a request's status on this VM or through the VM that issued its id.
  *
  * @module
  */
@@ -13,15 +13,15 @@
 import { parseRequestId } from "./request_ids.ts";
 import type { ProcessExecutionClaims } from "./execution_claims.ts";
 
-/** What a fate finder looks in. */
+/** The stores and services that the finder uses. */
 export interface RequestStatusSources {
   environment: Environment;
-  fates: RequestStatusStore;
+  requestStatuses: RequestStatusStore;
   answers: AnswerStore;
   claims: ProcessExecutionClaims;
 }
 
-/** Looks a request's fate up. */
+/** Finds the status of requests. */
 export class RequestStatusFinder {
   readonly #sources: RequestStatusSources;
 
@@ -34,26 +34,26 @@
   }
 
   /**
-   * Answers another VM. The issuer of an id passes the question on to the VM
-   * that runs it; no other VM knows a runner, so a question makes two hops at
-   * most: to the issuer, and from it to the runner.
+   * Handles a call of another VM. The issuer of an id forwards the call to the
+   * VM that executes it. Only the issuer knows that VM, so a call takes at most
+   * two hops: to the issuer and on to the executing VM.
    */
   async handleStatusCall(
     call: RequestStatusCall,
   ): Promise<RequestStatusAnswer> {
     const { claims } = this.#sources;
-    const own = this.#findHere(call);
-    if (isLastWord(own.fate)) return own;
+    const local = this.#findLocal(call);
+    if (isAuthoritative(local.fate)) return local;
     const runner = claims.findRunner(call.requestId);
     if (runner === undefined || this.#isSelf(runner)) {
-      return { ...own, isFree: claims.isFree(call.requestId) };
+      return { ...local, isFree: claims.isFree(call.requestId) };
     }
     return await this.#sources.environment.peers.getPeer(runner).findFate(call);
   }
 
   /**
-   * The fate from any VM. Rejects with a `StepError` when the VM that would
-   * know cannot be asked; then the fate is not known.
+   * Finds the status on any VM. Rejects with `StepError` if the status is
+   * unknown because the issuing or executing VM cannot answer.
    */
   async findStatus(
     requestId: RequestId,
@@ -63,22 +63,22 @@
       requestId,
       withAnswer: options.withAnswer,
     };
-    const own = await this.handleStatusCall(call);
+    const local = await this.handleStatusCall(call);
     const issuer = parseRequestId(requestId)?.vm;
-    if (isLastWord(own.fate) || issuer === undefined) return own;
-    if (this.#isSelf(issuer)) return own;
+    if (isAuthoritative(local.fate) || issuer === undefined) return local;
+    if (this.#isSelf(issuer)) return local;
     const peer = this.#sources.environment.peers.getPeer(issuer);
-    const asked = await peer.findFate(call);
-    if (asked.fate !== undefined || own.fate === undefined) return asked;
-    if (asked.isFree) return own;
+    const remote = await peer.findFate(call);
+    if (remote.fate !== undefined || local.fate === undefined) return remote;
+    if (remote.isFree) return local;
     throw new StepError(
       { step: "find_fate", peer: issuer },
       "The VM that issued the id no longer knows whether it ran elsewhere",
     );
   }
 
-  #findHere(call: RequestStatusCall): RequestStatusAnswer {
-    const { fates, answers } = this.#sources;
+  #findLocal(call: RequestStatusCall): RequestStatusAnswer {
+    const { requestStatuses: fates, answers } = this.#sources;
     return {
       fate: fates.find(call.requestId),
       answer: call.withAnswer ? answers.find(call.requestId) : undefined,
@@ -91,13 +91,13 @@
 }
 
 /**
- * Whether no other VM can know better. What goes wrong without it: a VM that
- * refused a request gave its id back, so another VM may have run it since;
- * telling "not run" from the first VM's record is then a lie, seen by a caller
- * that has the whole answer. An id for one submission is never given back.
+ * Whether no other VM can have a newer status. A VM that refused a request
+ * released its claim, so another VM may have executed the request since:
+ * returning `not_run` from the first VM's record would be wrong. A single-use
+ * id cannot be executed again.
  */
-function isLastWord(fate: RequestStatus | undefined): boolean {
-  if (fate === undefined) return false;
-  return fate.outcome !== "not_run" ||
-    parseRequestId(fate.requestId)?.isSingle === true;
+function isAuthoritative(status: RequestStatus | undefined): boolean {
+  if (status === undefined) return false;
+  return status.outcome !== "not_run" ||
+    parseRequestId(status.requestId)?.isSingle === true;
 }
--- a/src/process/request_status_store.ts
+++ b/src/process/request_status_store.ts
@@ -1,16 +1,16 @@
 /**
- * A bounded store of what became of each request on this VM.
+ * Stores the status of each request on this VM, up to a size limit.
  *
  * @module
  */
 import type { RequestId } from "../ids.ts";
 import type { RequestStatus, RequestStep } from "../request/request_status.ts";
 
-/** Steps kept for one request; the first ones tell the most. */
+/** Limit on steps of one request; the first are kept as the most useful. */
 const MAX_STEPS = 64;
 const DEFAULT_MAX_RECORDS = 20_000;
 const DEFAULT_MAX_BYTES = 32 * 1024 * 1024;
-/** Rough sizes in the process's memory. */
+/** Approximate sizes in memory. */
 const RECORD_BYTES = 600;
 const STEP_BYTES = 96;
 
@@ -26,7 +26,7 @@
   bytes: number;
 }
 
-/** Fate records by request id; the oldest finished ones go first. */
+/** Request statuses by id; the oldest finished ones are evicted first. */
 export class RequestStatusStore {
   readonly #maxRecords: number;
   readonly #maxBytes: number;
@@ -48,19 +48,19 @@
     );
   }
 
-  /** Records held, running and finished. */
+  /** The number of records, running and finished. */
   get size(): number {
     return this.#running.size + this.#finished.size;
   }
 
-  /** A rough count of the bytes held. */
+  /** Approximate size of the records, in bytes. */
   get bytes(): number {
     return this.#bytes;
   }
 
   /**
-   * Begins a record. Where the id ran before (and did not run to an end), the
-   * earlier steps are kept before the new ones.
+   * Starts a record. If the id has one from an earlier execution, its steps are
+   * kept before the new ones.
    */
   start(record: RequestStatus): void {
     const earlier = this.find(record.requestId);
@@ -80,7 +80,7 @@
     this.#dropOldest();
   }
 
-  /** Adds a step; an id that is not held is ignored. */
+  /** Adds a step; ignored if the id has no record. */
   note(requestId: RequestId, step: RequestStep): void {
     const entry = this.#running.get(requestId) ??
       this.#finished.get(requestId);
@@ -89,7 +89,7 @@
     this.#dropOldest();
   }
 
-  /** Ends a record; it is kept until its room is needed. */
+  /** Ends a record; it is kept until it is evicted. */
   end(requestId: RequestId, end: RequestEnd): void {
     const entry = this.#running.get(requestId);
     if (entry === undefined) return;
--- a/src/process/retry_budget.ts
+++ b/src/process/retry_budget.ts
@@ -1,11 +1,11 @@
 /**
- * Retries as a share of first tries over a sliding window.
+ * Limits retries to a share of first attempts within a sliding window.
  *
- * Without a bound, a fault that fails every try multiplies the load on the
- * upstreams that are left, seen as an overload that outlasts its cause. Each VM
- * keeps its own count: when every VM's retries stay under its share of its own
- * first tries, the fleet's stay under the same share of the fleet's first
- * tries, with no message between VMs.
+ * Without a limit, a fault that fails every attempt multiplies the load on the
+ * remaining upstreams, and the overload outlasts its cause. Each VM counts on
+ * its own: if every VM keeps its retries under a share of its own first
+ * attempts, the fleet keeps them under the same share without messages between
+ * VMs.
  *
  * @module
  */
@@ -16,26 +16,26 @@
 const WINDOW_MS = 10_000;
 const BUCKETS = 10;
 const BUCKET_MS = WINDOW_MS / BUCKETS;
-/** Retries in a window that need no first tries, for a VM with few calls. */
+/** Retries per window regardless of first attempts, for VMs with few calls. */
 const DEFAULT_RESERVE = 2;
 
 interface Bucket {
-  /** Which span of `BUCKET_MS` the counts are of. */
+  /** The number of the `BUCKET_MS` interval that the counts belong to. */
   span: number;
-  firstTries: number;
+  firstAttempts: number;
   retries: number;
 }
 
-/** What a retry budget is made of. */
+/** Options of a retry budget. */
 export interface RetryBudgetOptions {
   clock: Clock;
-  /** Retries allowed as a share of first tries. */
+  /** Allowed retries, as a share of first attempts. */
   getShare: () => number;
-  /** Retries of a pool in a window that need no first tries; 2 by default. */
+  /** Retries per pool and window regardless of first attempts; default 2. */
   getReserve?: () => number;
 }
 
-/** The retry budget of one VM, each pool's by itself. */
+/** The retry budget of one VM, separate for each pool. */
 export class WindowRetryBudget extends RetryBudget {
   readonly #options: RetryBudgetOptions;
   readonly #pools = new Map<PoolName, Bucket[]>();
@@ -50,17 +50,17 @@
   }
 
   noteFirstAttempt(pool: PoolName): void {
-    this.#getBucket(pool).firstTries++;
+    this.#getBucket(pool).firstAttempts++;
   }
 
   hasRetry(pool: PoolName): boolean {
     const { getShare, getReserve } = this.#options;
     this.#getBucket(pool);
     const buckets = this.#pools.get(pool)!;
-    const firstTries = addAll(buckets.map((each) => each.firstTries));
+    const firstAttempts = addAll(buckets.map((each) => each.firstAttempts));
     const retries = addAll(buckets.map((each) => each.retries));
     const reserve = getReserve?.() ?? DEFAULT_RESERVE;
-    return retries + 1 <= getShare() * firstTries + reserve;
+    return retries + 1 <= getShare() * firstAttempts + reserve;
   }
 
   takeRetry(pool: PoolName): boolean {
@@ -78,7 +78,7 @@
     }
     const latest = buckets.at(-1);
     if (latest?.span === span) return latest;
-    const bucket = { span, firstTries: 0, retries: 0 };
+    const bucket = { span, firstAttempts: 0, retries: 0 };
     buckets.push(bucket);
     return bucket;
   }
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -157,7 +157,7 @@
     );
     this.fateFinder = RequestStatusFinder.create({
       environment,
-      fates: this.fates,
+      requestStatuses: this.fates,
       answers: this.#answers,
       claims: this.claims,
     });
--- a/src/process/services.ts
+++ b/src/process/services.ts
@@ -1,5 +1,5 @@
 /**
- * What a request's task asks of its process: slots, limits and claims.
+ * Interfaces of the process's services for requests: leases, limits, claims.
  *
  * @module
  */
@@ -21,93 +21,97 @@
 import type { UpstreamSignals } from "../request/upstream_signals.ts";
 import type { ClaimAnswer, LeaseUpdate } from "./peer_api.ts";
 
-/** What a request needs from a pool. */
+/** A request for a lease of a slot in a pool. */
 export interface LeaseRequest {
   requestId: RequestId;
-  /** 1 for the first try. */
+  /** The number of the attempt, from 1. */
   attempt: number;
   workspace: WorkspaceName;
   className: ClassName;
   pool: PoolName;
   model: ModelName | undefined;
   adapter: string | undefined;
-  /** `Clock.now()` of this VM at the request's arrival. */
+  /** `Clock.now()` of this VM when the request arrived. */
   arrivedAt: number;
-  /** `Clock.now()` of this VM at which its total target ends. */
+  /** `Clock.now()` of this VM at the request's deadline. */
   deadlineAt: number;
   promptTokens: number;
   maxTokens: number;
   doneTokens: number;
   idempotent: boolean;
   prefixes: string[];
-  /** Tokens of each part of the prompt, alike in order to `prefixes`. */
+  /** Tokens of each part of the prompt, in the order of `prefixes`. */
   partTokens?: number[];
-  /** Whether the work is a stream that long prompts beside it would spoil. */
+  /**
+   * Whether prefills of long prompts on the same replica would stall the
+   * stream.
+   */
   isInteractive?: boolean;
-  /** Its target for the first output, in milliseconds from now. */
+  /** Target for the first output, in milliseconds from now. */
   firstOutputMs?: number;
-  /** Its caller leaves after so long without output, in milliseconds. */
+  /** Silence after which the caller disconnects, in milliseconds. */
   clientTimeoutMs?: number | undefined;
-  /** For the engine's own queue; 0 is the most urgent. */
+  /** Priority in the engine's queue; 0 is the most urgent. */
   priority?: number;
-  /** The same while it can not be in time any more. */
+  /** Priority once the request can no longer meet its target. */
   latePriority?: number;
-  /** Upstreams elsewhere must not get it; undefined where any may. */
+  /** Regions whose upstreams may run the request; undefined for any. */
   regions?: Region[] | undefined;
-  /** Whether it may be what crashes replicas. */
+  /** Whether the request is suspected of crashing replicas. */
   isSuspect?: boolean;
   avoid: VmId[];
 }
 
-/** How far the work under a lease has come. */
+/** The progress of the work under a lease. */
 export interface LeaseProgress {
   tokens: number;
   firstTokenMs: number | undefined;
   betweenTokensMs: number | undefined;
 }
 
-/** A slot in this VM's hands. */
+/** A lease held by this VM. */
 export abstract class HeldLease {
   abstract readonly lease: LeaseId;
   abstract readonly upstream: VmId;
   abstract readonly priority: number;
-  /** Which life of the upstream has the work, where that is known. */
+  /** The incarnation of the upstream that runs the work, if known. */
   readonly upstreamIncarnation?: Incarnation;
-  /** What decided for this upstream, for the log. */
+  /** Why this upstream was chosen, for the log. */
   readonly reason?: string;
-  /** Another upstream that can hand over parts of the prompt. */
+  /** Another upstream to fetch cached prompt parts from. */
   readonly fetchFrom?: Endpoint | undefined;
-  /** Aborts when the owner takes the slot back for a higher tier. */
+  /** Aborts when the owner preempts the slot for a higher tier. */
   abstract readonly preempted: AbortSignal;
   /**
-   * Whether the lease still stands by the monotonic clock. Ask before each
-   * send: a process that was paused finds out here.
+   * Whether the lease has not expired, by the monotonic clock. Check before
+   * each send: the process may have been paused past the expiry.
    */
   abstract isValid(): boolean;
   /**
-   * Whether the upstream is seen to live, by any work there: then silence on
-   * this lease's call is a queue, and not a failure.
+   * Whether any work on the upstream shows that it is alive. Silence on this
+   * lease's call then means that it is queued, not that the upstream failed.
    */
   isUpstreamAlive(): boolean {
     return false;
   }
 
   abstract noteProgress(progress: LeaseProgress): void;
-  /** Takes in what the upstream asks in its answer. */
+  /** Applies the signals in the upstream's answer. */
   noteSignals(_signals: UpstreamSignals): void {}
-  /** Gives the slot back; the first call counts. */
+  /** Releases the slot; only the first call has an effect. */
   abstract release(
     state: Exclude<LeaseUpdate["state"], "running">,
     progress: LeaseProgress,
   ): void;
 }
 
-/** Where slots come from. */
+/** Grants leases of slots. */
 export abstract class LeaseSource {
   /**
    * Waits in the shard owner's queue for a slot. Throws `RefusalError`
-   * (`not_run`) when refused; an aborted `signal` withdraws the ticket and
-   * throws `RefusalError` with code `cancelled`. `onStep` hears of queueing.
+   * (`not_run`) if refused; an aborted `signal` withdraws the ticket and throws
+   * `RefusalError` with code `cancelled`. `onStep` is called on each step in
+   * the queue.
    */
   abstract acquire(
     request: LeaseRequest,
@@ -115,89 +119,91 @@
   ): Promise<HeldLease>;
 }
 
-/** Fleet-wide limits of workspaces. */
+/** Rate limits of workspaces across the fleet. */
 export abstract class LimitSource {
   /**
-   * Takes one request and `tokens` from the workspace's limits. Throws
-   * `RefusalError` (`rate_limited`, `not_run`, with a true retry-after).
+   * Charges one request and `tokens` to the workspace's limits. Throws
+   * `RefusalError` (`rate_limited`, `not_run`, with an accurate retry-after).
    */
   abstract admit(workspace: WorkspaceName, tokens: number): Promise<void>;
-  /** Corrects an estimate once the real number of tokens is known. */
+  /** Replaces an estimate once the actual number of tokens is known. */
   abstract settle(
     workspace: WorkspaceName,
     counts: { estimated: number; actual: number },
   ): void;
 }
 
-/** The one run of each request id. */
+/** Claims that allow at most one execution of each request id. */
 export abstract class ExecutionClaims {
-  /** A new id that names this VM and incarnation, to be submitted later. */
+  /** Issues an id, naming this VM and incarnation, for a later submission. */
   abstract issueId(): RequestId;
   /**
-   * A new id for work that begins at once. It cannot be submitted again, so
-   * nothing has to be remembered of it.
+   * Issues an id for a request that starts at once. It cannot be submitted, so
+   * no claim is stored for it.
    */
   abstract issueSingleUseId(): RequestId;
   /**
-   * Claims the one run at the VM that issued the id; `unreachable` when that
-   * VM or incarnation cannot be asked, and then nothing may run.
+   * Claims the execution at the VM that issued the id. `unreachable` if that VM
+   * or incarnation cannot be reached: then the request must not run.
    */
   abstract claimExecution(
     requestId: RequestId,
   ): Promise<
     | Exclude<ClaimAnswer, { kind: "granted" }>
-    | { kind: "granted"; isStanding: () => boolean }
+    | { kind: "granted"; isValid: () => boolean }
     | { kind: "unreachable"; issuer: VmId; why: string }
   >;
-  /** Reports the run's outcome to the issuing VM; retried in the background. */
+  /** Reports the outcome to the issuing VM, with retries in the background. */
   abstract settleExecution(
     requestId: RequestId,
     outcome: RunOutcome | "answered",
   ): void;
 }
 
-/** A share of first tries that may be retried, so that retries cannot pile. */
+/** Limits retries to a share of first attempts, so that they cannot pile up. */
 export abstract class RetryBudget {
   abstract noteFirstAttempt(pool: PoolName): void;
   /** Whether `takeRetry` would succeed now. */
   abstract hasRetry(pool: PoolName): boolean;
-  /** Takes one retry, or returns false when the budget is spent. */
+  /** Takes one retry from the budget; false if the budget is spent. */
   abstract takeRetry(pool: PoolName): boolean;
 }
 
-/** A replica whose connection broke under a request. */
+/** A replica whose connection was lost during a request. */
 export interface DisconnectedReplica {
   id: VmId;
   incarnation: Incarnation | undefined;
-  /** Whether the request had any output from it. */
+  /** Whether the replica had sent any output of the request. */
   hadOutput: boolean;
 }
 
-/** Requests that are kept from replicas because replicas crash under them. */
+/** Requests that are not sent to replicas because they crash replicas. */
 export abstract class Quarantine {
-  /** How long a request must not be sent, in milliseconds; 0 if it may. */
+  /**
+   * Remaining quarantine of a request, in milliseconds; 0 if it may be sent.
+   */
   abstract getQuarantineMs(fingerprint: RequestFingerprint): number;
-  /** Whether it may be what crashed the replicas that it was in flight at. */
+  /** Whether the request may have crashed replicas on which it was running. */
   abstract isSuspect(fingerprint: RequestFingerprint): boolean;
   /**
-   * Takes in that a replica's connection broke under the request; resolves once
-   * it is known whether the replica crashed. Never rejects.
+   * Records that the connection to a replica was lost during the request.
+   * Resolves once it is known whether the replica crashed; never rejects.
    */
   abstract noteConnectionLoss(
     fingerprint: RequestFingerprint,
     replica: DisconnectedReplica,
   ): Promise<void>;
-  /** Takes in that a replica answered it whole. */
+  /** Records that a replica answered the request completely. */
   abstract noteAnswered(fingerprint: RequestFingerprint): void;
 }
 
-/** Figures of finished requests. */
+/** Metrics of finished requests. */
 export abstract class RequestMetrics {
   abstract noteStep(className: ClassName, step: string, ms: number): void;
-  abstract noteFinished(figures: FinishedRequest): void;
+  abstract noteFinished(request: FinishedRequest): void;
 }
 
-/** One finished request, for metrics and the burn report. */
+/** The measurements of one finished request. */
 export interface FinishedRequest {
   requestId: RequestId;
   workspace: WorkspaceName;
@@ -205,12 +211,12 @@
   pool: PoolName | undefined;
   upstream: VmId | undefined;
   result: "met" | "late" | "refused" | "lost" | "cancelled";
-  /** The step that spent the target or refused. */
+  /** The step that took longest, or at which the request was refused. */
   step: string;
   firstTokenMs: number | undefined;
   betweenTokensMs: number | undefined;
   totalMs: number;
   tokens: number;
-  /** Tokens generated and thrown away. */
+  /** Tokens that were generated and discarded. */
   wastedTokens: number;
 }
--- a/src/process/unchecked_execution_claims.ts
+++ b/src/process/unchecked_execution_claims.ts
@@ -1,7 +1,7 @@
 /**
- * Claims where every caller gives each of its attempts an id of its own.
+ * Claims for callers that use a new id for each attempt.
  *
- * An id is never submitted twice then, so no VM has to be asked whether the
+ * Such an id is never submitted twice, so no VM has to check whether the
  * request ran before.
  *
  * @module
@@ -34,7 +34,7 @@
   }
 
   claimExecution(): ReturnType<ExecutionClaims["claimExecution"]> {
-    return Promise.resolve({ kind: "granted", isStanding: () => true });
+    return Promise.resolve({ kind: "granted", isValid: () => true });
   }
 
   settleExecution(): void {}
--- a/src/request/answer_collector.ts
+++ b/src/request/answer_collector.ts
@@ -1,28 +1,28 @@
 /**
- * Keeps a copy of what a caller was sent, for a resubmission.
+ * Retains a copy of an answer, to replay it when the request is resubmitted.
  *
  * @module
  */
 import type { RetainedAnswer } from "../process/peer_api.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 
-/** Collects one answer while it is small enough. */
+/** Collects one answer; drops it when it exceeds the store's size limit. */
 export class AnswerCollector {
-  readonly #run: RequestRun;
-  #isKept: boolean;
+  readonly #execution: RequestExecution;
+  #isRetained: boolean;
   #bytes = 0;
   #status = 0;
   #headers: Record<string, string> = {};
   #chunks: Uint8Array[] = [];
 
-  constructor(run: RequestRun) {
-    this.#run = run;
-    this.#isKept = run.start.retainsAnswer;
+  constructor(execution: RequestExecution) {
+    this.#execution = execution;
+    this.#isRetained = execution.options.retainsAnswer;
   }
 
-  /** Collects nothing where the caller cannot ask again. */
-  static create(run: RequestRun): AnswerCollector {
-    return new AnswerCollector(run);
+  /** Collects nothing if the caller cannot resubmit the request. */
+  static create(execution: RequestExecution): AnswerCollector {
+    return new AnswerCollector(execution);
   }
 
   noteHead(status: number, headers: Record<string, string>): void {
@@ -31,24 +31,24 @@
   }
 
   noteBytes(bytes: Uint8Array): void {
-    if (!this.#isKept) return;
+    if (!this.#isRetained) return;
     this.#bytes += bytes.length;
-    if (this.#bytes > this.#run.services.answers.maxAnswerBytes) {
-      this.#isKept = false;
+    if (this.#bytes > this.#execution.services.answers.maxAnswerBytes) {
+      this.#isRetained = false;
       this.#chunks = [];
       return;
     }
     this.#chunks.push(bytes);
   }
 
-  /** Stores the answer; call it once the answer is whole. */
+  /** Stores the answer. Call it once the answer is complete. */
   putAnswer(): void {
-    if (!this.#isKept) return;
+    if (!this.#isRetained) return;
     const answer: RetainedAnswer = {
       status: this.#status,
       headers: this.#headers,
       bodyBase64: Buffer.concat(this.#chunks).toString("base64"),
     };
-    this.#run.services.answers.put(this.#run.id, answer);
+    this.#execution.services.answers.put(this.#execution.id, answer);
   }
 }
--- a/src/request/answer_headers.ts
+++ b/src/request/answer_headers.ts
@@ -1,17 +1,20 @@
 /**
- * Headers that every answer carries.
+ * Headers that are added to every answer.
  *
  * @module
  */
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 
-/** Adds the request id, and while this VM drains, the end of the connection. */
+/** Adds the request id, and `connection: close` while this VM drains. */
 export function buildAnswerHeaders(
-  run: RequestRun,
+  execution: RequestExecution,
   headers: Record<string, string>,
 ): Record<string, string> {
-  const all: Record<string, string> = { ...headers, "x-request-id": run.id };
-  // A kept connection would hold its caller here until the process ends.
-  if (run.services.isDraining()) all["connection"] = "close";
+  const all: Record<string, string> = {
+    ...headers,
+    "x-request-id": execution.id,
+  };
+  // A keep-alive connection would tie its caller to this VM until it exits.
+  if (execution.services.isDraining()) all["connection"] = "close";
   return all;
 }
--- a/src/request/answer_reader.ts
+++ b/src/request/answer_reader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads an upstream's whole answer, within a bound.
+ * Reads an upstream's answer into memory, up to a size limit.
  *
  * @module
  */
@@ -12,8 +12,8 @@
 const FIRST_SERVER_ERROR = 500;
 const TRANSIENT_STATUSES = new Set([408, 429]);
 
-/** Reads a body whole; throws `BrokenAnswerError` when it is too large. */
-export async function readWhole(
+/** Reads a body; throws `BrokenAnswerError` if it exceeds `maxBytes`. */
+export async function readBody(
   body: AsyncIterable<Uint8Array>,
   maxBytes: number,
 ): Promise<Buffer> {
@@ -28,19 +28,21 @@
 }
 
 /**
- * Throws `BrokenAnswerError` where an engine's status means that another one
- * may do better. A 4xx that the caller earned passes.
+ * Throws `BrokenAnswerError` if an engine's status calls for an attempt at
+ * another engine. A 4xx that is the caller's own error is accepted.
  */
 export async function checkEngineStatus(answer: UpstreamAnswer): Promise<void> {
   const { status } = answer;
   const isFailure = status >= FIRST_SERVER_ERROR ||
     TRANSIENT_STATUSES.has(status);
   if (!isFailure) return;
-  const body = await readWhole(answer.body, MAX_REFUSAL_BYTES);
+  const body = await readBody(answer.body, MAX_REFUSAL_BYTES);
   const notStarted = status === SERVICE_UNAVAILABLE &&
     findErrorCode(body) === NOT_STARTED_CODE;
   throw new BrokenAnswerError(
-    notStarted ? "Engine did not start" : `Engine answered ${status}`,
+    notStarted
+      ? "Engine answered 503 with code not_started"
+      : `Engine answered ${status}`,
     { notStarted },
   );
 }
--- a/src/request/answer_writer.ts
+++ b/src/request/answer_writer.ts
@@ -1,27 +1,27 @@
 /**
- * Writes an answer that is there as a whole.
+ * Writes an answer whose body is complete.
  *
  * @module
  */
 import type { UpstreamAnswer } from "../connection/upstream_transport.ts";
 import { AnswerCollector } from "./answer_collector.ts";
 import { buildAnswerHeaders } from "./answer_headers.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 
 const JSON_TYPE = "application/json";
 
-/** Keeps the answer for a resubmission, then writes and ends it. */
-export async function writeWhole(
-  run: RequestRun,
+/** Retains the answer for resubmissions, then writes and ends it. */
+export async function writeAnswer(
+  execution: RequestExecution,
   answer: UpstreamAnswer,
   body: Uint8Array,
 ): Promise<void> {
-  const { sink } = run.start;
-  const headers = buildAnswerHeaders(run, {
+  const { sink } = execution.options;
+  const headers = buildAnswerHeaders(execution, {
     "content-type": answer.headers["content-type"] ?? JSON_TYPE,
     "content-length": String(body.length),
   });
-  const collector = AnswerCollector.create(run);
+  const collector = AnswerCollector.create(execution);
   collector.noteHead(answer.status, headers);
   collector.noteBytes(body);
   collector.putAnswer();
--- a/src/request/attempt_failure.ts
+++ b/src/request/attempt_failure.ts
@@ -1,5 +1,5 @@
 /**
- * What a failed try says of the work.
+ * Classifies the errors of failed attempts.
  *
  * @module
  */
@@ -14,21 +14,21 @@
 
 const LOST_KINDS: ReadonlySet<UpstreamErrorKind> = new Set(["broken", "write"]);
 
-/** A try that gave the caller no whole answer. */
-export interface TryFailure {
+/** A failed attempt. */
+export interface AttemptFailure {
   upstream: VmId;
   code: RefusalCode;
   message: string;
-  /** False only when this send surely did nothing. */
+  /** False only if the upstream certainly did not run the request. */
   mayHaveRun: boolean;
-  /** Whether a byte of the request was written. */
+  /** Whether any byte of the request was written. */
   wasSent: boolean;
-  /** Whether the upstream's side of the connection ended under the request. */
+  /** Whether the connection to the upstream was lost during the request. */
   isConnectionLost: boolean;
 }
 
-/** Says what an error of a try means. */
-export function toFailure(error: Error, upstream: VmId): TryFailure {
+/** Classifies the error that ended an attempt. */
+export function toFailure(error: Error, upstream: VmId): AttemptFailure {
   if (error instanceof UpstreamError) {
     return {
       upstream,
--- a/src/request/attempt_progress.ts
+++ b/src/request/attempt_progress.ts
@@ -1,13 +1,13 @@
 /**
- * How far one try has come, for its lease.
+ * Measures the progress of one attempt, for its lease.
  *
  * @module
  */
 import type { Clock } from "../process/clock.ts";
 import type { LeaseProgress } from "../process/services.ts";
 
-/** Counts the tokens of one try on one upstream. */
-export class TryProgress {
+/** Counts the tokens of one attempt and their times. */
+export class AttemptProgress {
   readonly #clock: Clock;
   readonly #sentAt: number;
   readonly #onProgress: (progress: LeaseProgress) => void;
@@ -25,14 +25,14 @@
   }
 
   /**
-   * Begins to count; `clock.now()` is the time of sending. `onProgress` hears
-   * of each change.
+   * Starts the measurement; the current time counts as the time of sending.
+   * `onProgress` is called on each change.
    */
   static create(
     clock: Clock,
     onProgress: (progress: LeaseProgress) => void,
-  ): TryProgress {
-    return new TryProgress(clock, onProgress);
+  ): AttemptProgress {
+    return new AttemptProgress(clock, onProgress);
   }
 
   get tokens(): number {
@@ -48,8 +48,8 @@
     this.#onProgress(this.getProgress());
   }
 
-  /** Tokens of an answer that came in one piece: they tell no pace. */
-  noteWhole(count: number): void {
+  /** Counts the tokens of a buffered answer, which have no token times. */
+  noteWholeAnswer(count: number): void {
     this.#tokens += count;
   }
 
--- a/src/request/attempts.ts
+++ b/src/request/attempts.ts
@@ -1,5 +1,5 @@
 /**
- * Runs work on upstreams until the caller has its answer or a true refusal.
+ * Runs attempts at upstreams until the request is answered or refused.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import type { VmId } from "../ids.ts";
 import { RefusalError } from "../outcome.ts";
 import type { HeldLease, LeaseProgress } from "../process/services.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 import {
   checkCanContinue,
   checkQuarantine,
@@ -17,11 +17,11 @@
   FAILED_RETRY_AFTER_MS,
   isWorthWaiting,
 } from "./retry_rules.ts";
-import { toFailure, type TryFailure } from "./attempt_failure.ts";
-import { TryProgress } from "./attempt_progress.ts";
+import { type AttemptFailure, toFailure } from "./attempt_failure.ts";
+import { AttemptProgress } from "./attempt_progress.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
-/** Leases that one request may use up, preempted and lapsed ones included. */
+/** Limit on leases of one request, including preempted and expired ones. */
 const MAX_LEASES = 12;
 const NO_PROGRESS: LeaseProgress = {
   tokens: 0,
@@ -29,253 +29,284 @@
   betweenTokensMs: undefined,
 };
 
-/** How one try ended. */
-type TryEnd =
+/** How one attempt ended. */
+type AttemptResult =
   | { kind: "answered" }
   | { kind: "cancelled" }
-  /** The lease lapsed before anything was sent. */
+  /** The lease expired before anything was sent. */
   | { kind: "lapsed" }
   | { kind: "preempted" }
-  /** `noted` resolves once it is known whether the replica crashed. */
-  | { kind: "failed"; failure: TryFailure; noted: Promise<void> };
+  /** `crashCheck` resolves once it is known whether the replica crashed. */
+  | { kind: "failed"; failure: AttemptFailure; crashCheck: Promise<void> };
 
 /**
- * Gets the work done. Resolves when the caller has the whole answer; throws
- * `RefusalError`, whose outcome holds for all sends together.
+ * Runs the work, with retries. Resolves when the caller has the complete
+ * answer; throws `RefusalError`, whose outcome covers all attempts together.
  */
-export async function runTries(
-  run: RequestRun,
+export async function runAttempts(
+  execution: RequestExecution,
   work: UpstreamWork,
 ): Promise<void> {
-  run.services.retryBudget.noteFirstAttempt(work.pool.name);
-  run.pool = work.pool;
+  execution.services.retryBudget.noteFirstAttempt(work.pool.name);
+  execution.pool = work.pool;
   const avoid: VmId[] = [];
-  let tries = 0;
+  let failures = 0;
   let sends = 0;
   for (let attempt = 1; attempt <= MAX_LEASES; attempt++) {
-    checkQuarantine(run);
-    const lease = await acquireLease(run, work, { attempt, avoid });
-    const end = await runTry(run, work, lease);
-    if (end.kind === "answered") {
-      run.services.quarantine.noteAnswered(run.start.fingerprint);
-      noteCallerGone(run);
+    checkQuarantine(execution);
+    const lease = await acquireLease(execution, work, { attempt, avoid });
+    const result = await runAttempt(execution, work, lease);
+    if (result.kind === "answered") {
+      execution.services.quarantine.noteAnswered(execution.options.fingerprint);
+      noteCallerDisconnect(execution);
       return;
     }
-    if (end.kind === "cancelled") throw createCancelled(run);
-    if (end.kind === "lapsed") continue;
-    if (end.kind === "preempted") {
-      checkCanContinue(run, work, "The slot was taken for a higher tier");
+    if (result.kind === "cancelled") throw createCancelled(execution);
+    if (result.kind === "lapsed") continue;
+    if (result.kind === "preempted") {
+      checkCanContinue(
+        execution,
+        work,
+        "The slot was preempted for a higher tier",
+      );
       continue;
     }
-    tries++;
-    if (end.failure.wasSent) sends++;
-    avoid.push(end.failure.upstream);
-    await checkRetry(run, work, { ...end, tries, sends });
-    run.note("retried", { detail: end.failure.message });
+    failures++;
+    if (result.failure.wasSent) sends++;
+    avoid.push(result.failure.upstream);
+    await checkRetry(execution, work, { ...result, failures, sends });
+    execution.note("retried", { detail: result.failure.message });
   }
-  throw createRefusal(run, {
+  throw createRefusal(execution, {
     code: "no_upstream",
-    message: "No slot lasted until the work was done",
+    message: "Every lease expired or was preempted before the work completed",
   });
 }
 
-/** Says in the fate of an answered request that its caller had left. */
-function noteCallerGone(run: RequestRun): void {
-  if (!run.start.sink.signal.aborted) return;
-  run.note("cancelled", { detail: "The caller left before the last byte" });
+/** Records that the caller of an answered request had disconnected. */
+function noteCallerDisconnect(execution: RequestExecution): void {
+  if (!execution.options.sink.signal.aborted) return;
+  execution.note("cancelled", {
+    detail: "The caller disconnected before the last byte",
+  });
 }
 
 async function acquireLease(
-  run: RequestRun,
+  execution: RequestExecution,
   work: UpstreamWork,
-  options: { attempt: number; avoid: VmId[] },
+  leaseOptions: { attempt: number; avoid: VmId[] },
 ): Promise<HeldLease> {
-  const { start, services } = run;
+  const { options, services } = execution;
   try {
     const lease = await services.leases.acquire({
-      requestId: run.id,
-      attempt: options.attempt,
-      workspace: start.workspace.name,
-      className: start.requestClass.name,
+      requestId: execution.id,
+      attempt: leaseOptions.attempt,
+      workspace: options.workspace.name,
+      className: options.requestClass.name,
       pool: work.pool.name,
-      arrivedAt: start.arrivedAt,
-      deadlineAt: run.deadlineAt,
-      idempotent: start.idempotent,
-      avoid: [...options.avoid],
-      isSuspect: services.quarantine.isSuspect(start.fingerprint),
-      ...work.buildLeaseNeeds(),
+      arrivedAt: options.arrivedAt,
+      deadlineAt: execution.deadlineAt,
+      idempotent: options.idempotent,
+      avoid: [...leaseOptions.avoid],
+      isSuspect: services.quarantine.isSuspect(options.fingerprint),
+      ...work.buildLeaseRequirements(),
     }, {
-      signal: start.sink.signal,
+      signal: options.sink.signal,
       onStep: (step) => {
-        run.note(step.step, { peer: step.peer, detail: step.detail });
+        execution.note(step.step, { peer: step.peer, detail: step.detail });
       },
     });
-    run.note("granted", { peer: lease.upstream, detail: lease.reason });
+    execution.note("granted", { peer: lease.upstream, detail: lease.reason });
     return lease;
   } catch (thrown) {
     if (!(thrown instanceof RefusalError)) throw thrown;
-    // The lease source speaks for this try alone; an earlier one may have run.
-    throw createRefusal(run, thrown.refusal);
+    // This outcome covers one attempt; an earlier attempt may have run.
+    throw createRefusal(execution, thrown.refusal);
   }
 }
 
-async function runTry(
-  run: RequestRun,
+async function runAttempt(
+  execution: RequestExecution,
   work: UpstreamWork,
   lease: HeldLease,
-): Promise<TryEnd> {
-  const { environment } = run.services;
+): Promise<AttemptResult> {
+  const { environment } = execution.services;
   const cancel = new AbortController();
-  const progress = TryProgress.create(
+  const progress = AttemptProgress.create(
     environment.clock,
     (each) => lease.noteProgress(each),
   );
   const onPreempted = () => {
-    // The slot goes back at once: a slow caller may hold this task in a write
-    // long after the upstream stopped working for it.
+    // Release the slot at once: a write to a slow caller may block this task
+    // long after the upstream has stopped working on the request.
     cancel.abort();
     lease.release("cancelled", progress.getProgress());
   };
-  const onCallerGone = () => cancel.abort();
-  const preempted = run.start.idempotent ? lease.preempted : undefined;
+  const onCallerDisconnect = () => cancel.abort();
+  const preempted = execution.options.idempotent ? lease.preempted : undefined;
   preempted?.addEventListener("abort", onPreempted, { once: true });
-  // Work that may run at most once and that the caller can ask about again is
-  // let finish: cutting it would leave a hold that nobody can tell of.
-  const isLetFinish = !run.start.idempotent && run.start.retainsAnswer;
-  if (!isLetFinish) {
-    run.start.sink.signal.addEventListener("abort", onCallerGone, {
-      once: true,
-    });
+  // Work that is not idempotent and can be resubmitted is completed after its
+  // caller disconnected, so that a resubmission receives the answer. Cancelling
+  // it would leave an outcome that nobody can find out.
+  const finishesWithoutCaller = !execution.options.idempotent &&
+    execution.options.retainsAnswer;
+  if (!finishesWithoutCaller) {
+    execution.options.sink.signal.addEventListener(
+      "abort",
+      onCallerDisconnect,
+      {
+        once: true,
+      },
+    );
   }
   try {
-    return await sendWork(run, work, { lease, cancel, progress });
+    return await sendWork(execution, work, { lease, cancel, progress });
   } finally {
     preempted?.removeEventListener("abort", onPreempted);
-    run.start.sink.signal.removeEventListener("abort", onCallerGone);
-    // An answer that was turned down unread would hold its connection, and
-    // the upstream its work, until a time limit.
+    execution.options.sink.signal.removeEventListener(
+      "abort",
+      onCallerDisconnect,
+    );
+    // If the answer was rejected before it was read, the connection and the
+    // work at the upstream would otherwise last until a timeout.
     cancel.abort();
     lease.release("failed", progress.getProgress());
   }
 }
 
 async function sendWork(
-  run: RequestRun,
+  execution: RequestExecution,
   work: UpstreamWork,
   options: {
     lease: HeldLease;
     cancel: AbortController;
-    progress: TryProgress;
+    progress: AttemptProgress;
   },
-): Promise<TryEnd> {
+): Promise<AttemptResult> {
   const { lease, cancel, progress } = options;
   const call = work.buildCall(lease);
-  const early = findEarlyEnd(run, lease);
+  const early = findEarlyResult(execution, lease);
   if (early !== undefined) {
     lease.release("unused", NO_PROGRESS);
     return early;
   }
-  run.upstream = lease.upstream;
-  run.note("sent", { peer: lease.upstream });
+  execution.upstream = lease.upstream;
+  execution.note("sent", { peer: lease.upstream });
   try {
-    const answer = await run.services.environment.upstreams.send({
+    const answer = await execution.services.environment.upstreams.send({
       ...call,
       upstream: lease.upstream,
-      freshConnection: !run.start.idempotent,
+      freshConnection: !execution.options.idempotent,
       limits: {
-        ...computeLimits(run, work),
-        mayWaitOn: () => isWorthWaiting(run, work, lease),
+        ...computeLimits(execution, work),
+        mayWaitOn: () => isWorthWaiting(execution, work, lease),
       },
       signal: cancel.signal,
-      canSend: () => run.start.isClaimStanding() && lease.isValid(),
+      canSend: () => execution.options.isClaimValid() && lease.isValid(),
     });
     await work.handleAnswer(answer, {
       signal: cancel.signal,
       progress,
       onSignals: (signals) => {
-        run.services.unreadableHeaders.note(lease.upstream, signals.unreadable);
+        execution.services.unreadableHeaders.note(
+          lease.upstream,
+          signals.unreadable,
+        );
         lease.noteSignals(signals);
       },
-      onWhole: () => lease.release("done", progress.getProgress()),
+      onComplete: () => lease.release("done", progress.getProgress()),
     });
     return { kind: "answered" };
   } catch (thrown) {
-    return handleFailure(run, toError(thrown), { lease, progress });
+    return handleFailure(execution, toError(thrown), { lease, progress });
   }
 }
 
 /**
- * Looks once more, right before the send, whether it may go out. A process
- * that was paused wakes with leases and claims that others have taken over;
- * sending then would put work on a slot that is not its own.
+ * Checks again, right before the send, that the work may be sent. While a
+ * process was paused, its leases and claims may have expired and passed to
+ * others; sending then would use a slot that belongs to another request.
  */
-function findEarlyEnd(run: RequestRun, lease: HeldLease): TryEnd | undefined {
-  if (run.start.sink.signal.aborted) return { kind: "cancelled" };
-  if (!run.start.isClaimStanding()) {
+function findEarlyResult(
+  execution: RequestExecution,
+  lease: HeldLease,
+): AttemptResult | undefined {
+  if (execution.options.sink.signal.aborted) return { kind: "cancelled" };
+  if (!execution.options.isClaimValid()) {
     lease.release("unused", NO_PROGRESS);
-    throw createRefusal(run, {
+    throw createRefusal(execution, {
       code: "paused",
-      message: "The claim on the request id lapsed before the work was sent",
+      message: "The claim on the request id expired before the work was sent",
       retryAfterMs: FAILED_RETRY_AFTER_MS,
     });
   }
-  if (run.isPastUse) {
+  if (execution.isTooLate) {
     lease.release("unused", NO_PROGRESS);
-    throw createRefusal(run, {
+    throw createRefusal(execution, {
       code: "deadline_passed",
-      message: "The target passed before the work was sent",
+      message: "The deadline passed before the work was sent",
     });
   }
-  checkQuarantine(run, () => lease.release("unused", NO_PROGRESS));
+  checkQuarantine(execution, () => lease.release("unused", NO_PROGRESS));
   if (lease.isValid() && !lease.preempted.aborted) return undefined;
-  run.note("retried", {
+  execution.note("retried", {
     peer: lease.upstream,
-    detail: "The lease lapsed before the work was sent",
+    detail: "The lease expired before the work was sent",
   });
   return { kind: "lapsed" };
 }
 
 function handleFailure(
-  run: RequestRun,
+  execution: RequestExecution,
   error: Error,
-  options: { lease: HeldLease; progress: TryProgress },
-): TryEnd {
+  options: { lease: HeldLease; progress: AttemptProgress },
+): AttemptResult {
   const { lease, progress } = options;
   const failure = toFailure(error, lease.upstream);
-  if (failure.mayHaveRun) run.noteMayHaveRun();
-  const noted = failure.isConnectionLost
-    ? run.services.quarantine.noteConnectionLoss(run.start.fingerprint, {
-      id: lease.upstream,
-      incarnation: lease.upstreamIncarnation,
-      hadOutput: progress.getProgress().tokens > 0,
-    })
+  if (failure.mayHaveRun) execution.noteMayHaveRun();
+  const crashCheck = failure.isConnectionLost
+    ? execution.services.quarantine.noteConnectionLoss(
+      execution.options.fingerprint,
+      {
+        id: lease.upstream,
+        incarnation: lease.upstreamIncarnation,
+        hadOutput: progress.getProgress().tokens > 0,
+      },
+    )
     : Promise.resolve();
-  if (run.start.sink.signal.aborted) {
+  if (execution.options.sink.signal.aborted) {
     lease.release("cancelled", progress.getProgress());
     return { kind: "cancelled" };
   }
-  if (run.start.idempotent && lease.preempted.aborted) {
-    run.note("preempted", { peer: lease.upstream });
+  if (execution.options.idempotent && lease.preempted.aborted) {
+    execution.note("preempted", { peer: lease.upstream });
     return { kind: "preempted" };
   }
   lease.release("failed", progress.getProgress());
-  run.note("stream_broken", { peer: lease.upstream, detail: error.message });
-  return { kind: "failed", failure, noted };
+  execution.note("stream_broken", {
+    peer: lease.upstream,
+    detail: error.message,
+  });
+  return { kind: "failed", failure, crashCheck };
 }
 
-function computeLimits(run: RequestRun, work: UpstreamWork): CallLimits {
-  const leftMs = run.deadlineAt - run.services.environment.clock.now();
+function computeLimits(
+  execution: RequestExecution,
+  work: UpstreamWork,
+): CallLimits {
+  const leftMs = execution.deadlineAt -
+    execution.services.environment.clock.now();
   const limits = work.computeLimits(leftMs);
-  if (run.start.requestClass.lateIsUseful) return limits;
+  if (execution.options.requestClass.lateIsUseful) return limits;
   return {
     ...limits,
     firstByteMs: Math.max(1, Math.min(limits.firstByteMs, leftMs)),
   };
 }
 
-function createCancelled(run: RequestRun): RefusalError {
-  return createRefusal(run, {
+function createCancelled(execution: RequestExecution): RefusalError {
+  return createRefusal(execution, {
     code: "cancelled",
-    message: "The caller went away",
+    message: "The caller disconnected",
   });
 }
--- a/src/request/authenticate.ts
+++ b/src/request/authenticate.ts
@@ -1,5 +1,5 @@
 /**
- * Who calls, and in which request class.
+ * Finds the caller's workspace and the request class of a call.
  *
  * @module
  */
@@ -8,11 +8,11 @@
 import { findWorkspaceByKey } from "../version/keys.ts";
 import type { RequestClass, Snapshot, Workspace } from "../version/records.ts";
 
-/** Names the request class; the workspace's default without it. */
+/** Selects the request class; without it the workspace's default applies. */
 export const CLASS_HEADER = "x-request-class";
 const BEARER_PATTERN = /^Bearer +(\S+)$/i;
 
-/** Finds the caller's workspace by its key; throws `RefusalError`. */
+/** Finds the workspace of the caller's API key; throws `RefusalError`. */
 export function checkCaller(
   snapshot: Snapshot,
   headers: Record<string, string>,
@@ -25,25 +25,24 @@
   throw new RefusalError({
     code: "unauthorized",
     message: key === undefined
-      ? "A key is needed: Authorization: Bearer KEY"
-      : "The key belongs to no workspace",
+      ? "Missing API key; expected Authorization: Bearer KEY"
+      : "The API key belongs to no workspace",
     outcome: "not_run",
   });
 }
 
 /**
  * Finds the class of a request: the header's, else `fallback`, else the
- * workspace's default. Throws `RefusalError` where the workspace may not use
- * it.
+ * workspace's default. Throws `RefusalError` if the workspace may not use it.
  */
 export function chooseClass(
   snapshot: Snapshot,
   workspace: Workspace,
   options: { headers: Record<string, string>; fallback?: ClassName },
 ): RequestClass {
-  const asked = options.headers[CLASS_HEADER];
-  const name = asked !== undefined
-    ? toId<ClassName>(asked)
+  const requested = options.headers[CLASS_HEADER];
+  const name = requested !== undefined
+    ? toId<ClassName>(requested)
     : options.fallback ?? workspace.defaultClass;
   const requestClass = snapshot.classes.get(name);
   if (workspace.classes.includes(name) && requestClass !== undefined) {
--- a/src/request/caller_request.ts
+++ b/src/request/caller_request.ts
@@ -1,31 +1,31 @@
 /**
- * A caller's request as the listener hands it over, whatever carried it.
+ * A caller's request, independent of the transport that it arrived on.
  *
  * @module
  */
 import type { CallerSink } from "./caller_sink.ts";
 
-/** Names an id taken beforehand, and in answers the request's id. */
+/** In requests an id from `POST /v1/requests`; in answers the request's id. */
 export const REQUEST_ID_HEADER = "x-request-id";
 
-/** One request from a caller, read whole. */
+/** One request of a caller, with its complete body. */
 export interface CallerRequest {
   method: string;
-  /** The path as sent, still percent-encoded, without the query. */
+  /** The path as sent: percent-encoded, without the query. */
   path: string;
-  /** As sent, without its question mark; empty if there is none. */
+  /** The query as sent, without the question mark; empty if there is none. */
   query: string;
-  /** Header names are in lower case. */
+  /** By lower-case name. */
   headers: Record<string, string>;
-  /** Empty when there is none; bounded by the listener. */
+  /** Empty if there is none; the listener limits its size. */
   body: Uint8Array;
   remoteAddress: string;
-  /** `Clock.now()` when the request's head was read. */
+  /** `Clock.now()` when the request's head had been read. */
   arrivedAt: number;
 }
 
-/** Answers callers' requests. */
+/** Handles callers' requests. */
 export abstract class CallerHandler {
-  /** Writes the whole answer, or cuts it; never rejects. */
+  /** Writes the complete answer or destroys the sink; never rejects. */
   abstract handle(request: CallerRequest, sink: CallerSink): Promise<void>;
 }
--- a/src/request/caller_sink.ts
+++ b/src/request/caller_sink.ts
@@ -1,23 +1,22 @@
 /**
- * Where a request's answer goes, whatever carries the bytes.
+ * The writable side of a caller's request, independent of the transport.
  *
  * @module
  */
 
-/** The caller's side of one request. */
+/** Writes the answer of one request. */
 export abstract class CallerSink {
-  /** Aborts when the caller goes away. */
+  /** Aborts when the caller disconnects. */
   abstract readonly signal: AbortSignal;
-  /** Whether the head has been written. */
   abstract readonly headWritten: boolean;
   abstract writeHead(status: number, headers: Record<string, string>): void;
-  /** Resolves when the caller can take more: backpressure. */
+  /** Resolves when more can be written (backpressure). */
   abstract write(bytes: Uint8Array): Promise<void>;
   abstract end(): Promise<void>;
-  /** Cuts the answer so that the caller cannot take it for a whole one. */
+  /** Aborts the answer so that the caller cannot mistake it for complete. */
   abstract destroy(): void;
 
-  /** Writes a last part, which the caller still gets, and then destroys. */
+  /** Writes a last chunk, which still reaches the caller, then aborts. */
   async destroyAfter(bytes: Uint8Array): Promise<void> {
     await this.write(bytes);
     this.destroy();
--- a/src/request/completion_body.ts
+++ b/src/request/completion_body.ts
@@ -1,5 +1,5 @@
 /**
- * The body of a completion: what the router reads of it, and what it sends on.
+ * Parses a completion's body and builds the body that is sent to the engine.
  *
  * @module
  */
@@ -19,7 +19,7 @@
 
 const TOKEN_COUNT = z.int().min(1).nullish();
 
-/** The fields that the router reads; engines check the others. */
+/** The fields that the router reads; engines validate the others. */
 const BODY_SCHEMA = z.looseObject({
   model: z.string().min(1).max(256),
   stream: z.boolean().nullish(),
@@ -35,31 +35,31 @@
 
 type Body = z.infer<typeof BODY_SCHEMA>;
 
-/** One checked completion. */
+/** One validated completion request. */
 export interface Completion {
   model: ModelName;
   adapter: string | undefined;
   pool: UpstreamPool;
   stream: boolean;
   includeUsage: boolean;
-  /** The cap on generated tokens: the caller's, at most the class's. */
+  /** Limit on generated tokens: the caller's, at most the class's. */
   maxTokens: number;
   promptTokens: number;
   prefixes: string[];
-  /** What goes to the engine. */
+  /** The body to send to the engine. */
   body: Record<string, unknown>;
 }
 
 /**
- * Checks a completion's body. Throws `RefusalError` (`bad_request`, or
- * `not_found` for a model that no pool holds).
+ * Validates a completion's body. Throws `RefusalError` (`bad_request`, or
+ * `not_found` for a model that no pool serves).
  */
 export function parseCompletion(
   bytes: Uint8Array,
   options: { path: string; snapshot: Snapshot; requestClass: RequestClass },
 ): Completion {
   const body = checkBody(parseJsonBody(bytes), options.path);
-  const target = findModel(options.snapshot, body.model);
+  const target = findTarget(options.snapshot, body.model);
   const prompt = collectPrompt(body);
   const maxTokens = Math.min(
     body.max_completion_tokens ?? body.max_tokens ?? Infinity,
@@ -83,40 +83,42 @@
     const field = issue?.path.join(".") || "body";
     throw createBadRequest(`${field}: ${issue?.message}`);
   }
-  const needed = path.endsWith("/chat/completions") ? "messages" : "prompt";
-  if (result.data[needed] === undefined) {
-    throw createBadRequest(`${needed}: Required`);
+  const requiredField = path.endsWith("/chat/completions")
+    ? "messages"
+    : "prompt";
+  if (result.data[requiredField] === undefined) {
+    throw createBadRequest(`${requiredField}: Required`);
   }
   return result.data;
 }
 
-/** Finds a model, or a model with an adapter written `MODEL:ADAPTER`. */
-function findModel(
+/** Finds the pool of `MODEL` or `MODEL:ADAPTER`. */
+function findTarget(
   snapshot: Snapshot,
   name: string,
 ): Pick<Completion, "model" | "adapter" | "pool"> {
-  const whole = toId<ModelName>(name);
-  const wholePool = snapshot.poolsByModel.get(whole)?.[0];
+  const wholeName = toId<ModelName>(name);
+  const wholePool = snapshot.poolsByModel.get(wholeName)?.[0];
   if (wholePool !== undefined) {
-    return { model: whole, adapter: undefined, pool: wholePool };
+    return { model: wholeName, adapter: undefined, pool: wholePool };
   }
   const at = name.lastIndexOf(ADAPTER_SEPARATOR);
   const model = toId<ModelName>(name.slice(0, Math.max(0, at)));
   const adapter = name.slice(at + 1);
   const pool = snapshot.poolsByModel.get(model)?.find((each) =>
-    each.models.some((held) =>
-      held.model === model && held.adapters.includes(adapter)
+    each.models.some((served) =>
+      served.model === model && served.adapters.includes(adapter)
     )
   );
   if (pool !== undefined) return { model, adapter, pool };
   throw new RefusalError({
     code: "not_found",
-    message: `No pool holds the model ${name}`,
+    message: `No pool serves the model ${name}`,
     outcome: "not_run",
   });
 }
 
-/** The prompt's text in order; parts that are not text count as JSON. */
+/** The prompt as one text; content that is not text is included as JSON. */
 function collectPrompt(body: Body): string {
   if (body.messages === undefined) {
     return Array.isArray(body.prompt) ? body.prompt.join("") : body.prompt!;
@@ -134,10 +136,10 @@
   body: Body,
   maxTokens: number,
 ): Record<string, unknown> {
-  const cap = body.max_completion_tokens != null
+  const limitField = body.max_completion_tokens != null
     ? "max_completion_tokens"
     : "max_tokens";
-  return { ...body, [cap]: maxTokens };
+  return { ...body, [limitField]: maxTokens };
 }
 
 function createBadRequest(message: string): RefusalError {
--- a/src/request/completion_stream.ts
+++ b/src/request/completion_stream.ts
@@ -1,5 +1,5 @@
 /**
- * What of an engine's event stream goes to the caller, over several tries.
+ * Merges the event streams of several attempts into one stream for the caller.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 
 const DONE = "[DONE]";
 const DONE_EVENT = Buffer.from(`data: ${DONE}\n\n`);
-/** Events between the one that finishes and the one that ends. */
-const MAX_HELD_EVENTS = 16;
+/** Limit on events from the one with `finish_reason` up to `[DONE]`. */
+const MAX_DEFERRED_EVENTS = 16;
 
 interface Choice {
   index?: number;
@@ -33,27 +33,28 @@
   usage?: Usage | null;
 }
 
-/** What one event adds to the answer. */
+/** The part of an answer that one event adds. */
 interface Addition {
   text: string;
   tokens: number;
   isFinish: boolean;
-  /** Whether the event only names the role of what follows. */
-  isOpening: boolean;
-  /** Whether the text alone says what the event added. */
+  /** Whether the event sets only the role of the message that follows. */
+  isRoleOnly: boolean;
+  /** Whether `text` holds everything that the event adds. */
   isPlainText: boolean;
 }
 
-/** The bytes to pass on now, and the tokens that they hold. */
+/** Bytes to forward now, and the number of tokens in them. */
 export interface StreamPart {
   bytes: Uint8Array[];
   tokens: number;
 }
 
 /**
- * One caller's stream. Events go on as they come, but from the finishing one
- * to `[DONE]` they are held back: a stream that breaks in between can then
- * still be resumed, and the caller sees one finish and one `[DONE]`.
+ * One caller's stream. Events are forwarded as they arrive, except that events
+ * from the one with `finish_reason` up to `[DONE]` are deferred: a stream that
+ * breaks in between can then still be resumed, and the caller receives one
+ * `finish_reason` and one `[DONE]`.
  */
 export class CompletionStream {
   readonly #requestId: RequestId;
@@ -65,8 +66,8 @@
   #isPlainText = true;
   #isDone = false;
   #isResumed = false;
-  #held: Uint8Array[] = [];
-  #heldTokens = 0;
+  #deferred: Uint8Array[] = [];
+  #deferredTokens = 0;
   #isFinishing = false;
   #hasUsage = false;
 
@@ -82,7 +83,7 @@
     return new CompletionStream(requestId, options.includeUsage);
   }
 
-  /** Tokens that were passed on. */
+  /** Tokens that were forwarded. */
   get tokens(): number {
     return this.#tokens;
   }
@@ -96,47 +97,47 @@
     return this.#isDone;
   }
 
-  /** Whether another engine can go on where this stream is. */
+  /** Whether another engine can continue the stream from here. */
   get canResume(): boolean {
     return !this.#hasStarted || this.#isPlainText;
   }
 
-  /** Begins a try; what an earlier one held back is dropped. */
-  startTry(): void {
+  /** Starts an attempt; drops events deferred by an earlier one. */
+  startAttempt(): void {
     this.#isResumed = this.#hasStarted;
-    this.#held = [];
-    this.#heldTokens = 0;
+    this.#deferred = [];
+    this.#deferredTokens = 0;
     this.#isFinishing = false;
     this.#hasUsage = false;
   }
 
-  /** Takes one event; throws `BrokenAnswerError`. */
+  /** Applies one event of the engine; throws `BrokenAnswerError`. */
   takeEvent(event: SseEvent): StreamPart {
     if (this.#isDone) return { bytes: [], tokens: 0 };
     if (event.data === undefined) return this.#addPart(event.raw, 0);
     if (event.data === DONE) return this.#endWith(event.raw);
     const chunk = this.#parseChunk(event.data);
     const addition = readAddition(chunk);
-    if (this.#isResumed && addition.isOpening) return { bytes: [], tokens: 0 };
+    if (this.#isResumed && addition.isRoleOnly) return { bytes: [], tokens: 0 };
     const raw = this.#isResumed
       ? this.#convertChunk(chunk, event.raw)
       : event.raw;
     this.#created ??= chunk.created;
     this.#isFinishing ||= addition.isFinish;
-    if (this.#isFinishing) return this.#addHeld(raw, { chunk, addition });
+    if (this.#isFinishing) return this.#addDeferred(raw, { chunk, addition });
     this.#text += addition.text;
     this.#isPlainText &&= addition.isPlainText;
     return this.#addPart(raw, addition.tokens);
   }
 
   /**
-   * Ends a stream that broke after everything of it had come but `[DONE]`.
-   * Undefined where something else is missing.
+   * Ends a stream that broke when only `[DONE]` was missing. Undefined if
+   * anything else is missing.
    */
-  takeHeldEnd(): StreamPart | undefined {
-    const isWhole = this.#isFinishing &&
+  takeDeferredEnd(): StreamPart | undefined {
+    const isComplete = this.#isFinishing &&
       (this.#hasUsage || !this.#includeUsage);
-    return isWhole ? this.#endWith(DONE_EVENT) : undefined;
+    return isComplete ? this.#endWith(DONE_EVENT) : undefined;
   }
 
   #addPart(raw: Uint8Array, tokens: number): StreamPart {
@@ -145,15 +146,17 @@
     return { bytes: [raw], tokens };
   }
 
-  #addHeld(
+  #addDeferred(
     raw: Uint8Array,
     options: { chunk: Chunk; addition: Addition },
   ): StreamPart {
-    this.#held.push(raw);
-    this.#heldTokens += options.addition.tokens;
+    this.#deferred.push(raw);
+    this.#deferredTokens += options.addition.tokens;
     this.#hasUsage ||= options.chunk.usage != null;
-    if (this.#held.length > MAX_HELD_EVENTS) {
-      throw BrokenAnswerError.create("Stream goes on after its finish");
+    if (this.#deferred.length > MAX_DEFERRED_EVENTS) {
+      throw BrokenAnswerError.create(
+        "Engine sent too many events after finish_reason",
+      );
     }
     return { bytes: [], tokens: 0 };
   }
@@ -161,32 +164,34 @@
   #endWith(raw: Uint8Array): StreamPart {
     this.#isDone = true;
     this.#hasStarted = true;
-    this.#tokens += this.#heldTokens;
-    return { bytes: [...this.#held, raw], tokens: this.#heldTokens };
+    this.#tokens += this.#deferredTokens;
+    return { bytes: [...this.#deferred, raw], tokens: this.#deferredTokens };
   }
 
   /**
-   * An answer that an engine mixed up would go to the wrong caller, seen as a
-   * stranger's text; each event carries the request's id, so it is noticed
-   * before a byte of it goes on.
+   * Checks that the event belongs to this request. An engine that mixes up two
+   * answers would otherwise send one caller's text to another; each event
+   * carries the request id, so it is detected before a byte is forwarded.
    */
   #parseChunk(data: string): Chunk {
     let chunk: Chunk;
     try {
       chunk = JSON.parse(data);
     } catch {
-      throw BrokenAnswerError.create("Event is not valid JSON");
+      throw BrokenAnswerError.create(
+        "Engine sent an event that is not valid JSON",
+      );
     }
     if (chunk?.error != null) {
       throw BrokenAnswerError.create("Engine reported an error in its stream");
     }
     if (chunk?.id !== this.#requestId) {
-      throw BrokenAnswerError.create("Answer belongs to another request");
+      throw BrokenAnswerError.create("Engine sent an event of another request");
     }
     return chunk;
   }
 
-  /** Makes a resumed engine's event one of the stream that the caller has. */
+  /** Rewrites a resuming engine's event to fit the stream already sent. */
   #convertChunk(chunk: Chunk, raw: Uint8Array): Uint8Array {
     const isSame = chunk.created === this.#created && chunk.usage == null;
     if (isSame) return raw;
@@ -196,9 +201,9 @@
     return Buffer.from(`data: ${JSON.stringify(merged)}\n\n`);
   }
 
-  /** A resumed engine may count only what it generated itself. */
+  /** Recounts usage: a resuming engine may count only its own tokens. */
   #countUsage(usage: Usage): Usage {
-    const completionTokens = this.#tokens + this.#heldTokens;
+    const completionTokens = this.#tokens + this.#deferredTokens;
     return {
       ...usage,
       completion_tokens: completionTokens,
@@ -219,14 +224,14 @@
     text,
     tokens: text !== "" || hasOthers ? 1 : 0,
     isFinish,
-    isOpening: delta?.["role"] !== undefined && text === "" && !hasOthers &&
+    isRoleOnly: delta?.["role"] !== undefined && text === "" && !hasOthers &&
       !isFinish,
     isPlainText: !hasOthers && choices.length <= 1 &&
       (choice?.index ?? 0) === 0,
   };
 }
 
-/** Whether a delta holds more than its role and its text. */
+/** Whether a delta has fields other than its role and its text. */
 function hasOtherParts(delta: Record<string, unknown>): boolean {
   for (const name in delta) {
     if (name === "role" || name === "content") continue;
--- a/src/request/completion_stream_work.ts
+++ b/src/request/completion_stream_work.ts
@@ -1,5 +1,5 @@
 /**
- * A streamed completion: one stream for the caller, whatever breaks behind it.
+ * Streamed completions, resumed at another engine if the stream breaks.
  *
  * @module
  */
@@ -9,16 +9,19 @@
 import type { Refusal } from "../outcome.ts";
 import type { HeldLease } from "../process/services.ts";
 import { AnswerCollector } from "./answer_collector.ts";
-import { checkEngineStatus, readWhole } from "./answer_reader.ts";
-import { writeWhole } from "./answer_writer.ts";
+import { checkEngineStatus, readBody } from "./answer_reader.ts";
+import { writeAnswer } from "./answer_writer.ts";
 import { buildAnswerHeaders } from "./answer_headers.ts";
 import { CompletionStream, type StreamPart } from "./completion_stream.ts";
-import { CompletionWork, type CompletionWorkStart } from "./completion_work.ts";
+import {
+  CompletionWork,
+  type CompletionWorkContext,
+} from "./completion_work.ts";
 import { listEvents } from "./sse_events.ts";
 import { readUpstreamSignals } from "./upstream_signals.ts";
 import {
   BrokenAnswerError,
-  type LeaseNeeds,
+  type LeaseRequirements,
   type RelayOptions,
   type WorkCall,
 } from "./upstream_work.ts";
@@ -27,31 +30,34 @@
 const FIRST_CALLER_ERROR = 400;
 const MAX_REFUSAL_BYTES = 1024 * 1024;
 
-/** Streams a completion and resumes it where it breaks. */
+/** Streams a completion and resumes it after a break. */
 export class CompletionStreamWork extends CompletionWork {
   readonly #stream: CompletionStream;
   readonly #collector: AnswerCollector;
 
-  constructor(start: CompletionWorkStart) {
-    super(start);
-    this.#stream = CompletionStream.create(start.run.id, {
-      includeUsage: start.completion.includeUsage,
+  constructor(context: CompletionWorkContext) {
+    super(context);
+    this.#stream = CompletionStream.create(context.execution.id, {
+      includeUsage: context.completion.includeUsage,
     });
-    this.#collector = AnswerCollector.create(start.run);
+    this.#collector = AnswerCollector.create(context.execution);
   }
 
-  static create(start: CompletionWorkStart): CompletionStreamWork {
-    return new CompletionStreamWork(start);
+  static create(context: CompletionWorkContext): CompletionStreamWork {
+    return new CompletionStreamWork(context);
   }
 
-  override buildLeaseNeeds(): LeaseNeeds {
-    return { ...super.buildLeaseNeeds(), doneTokens: this.#stream.tokens };
+  override buildLeaseRequirements(): LeaseRequirements {
+    return {
+      ...super.buildLeaseRequirements(),
+      doneTokens: this.#stream.tokens,
+    };
   }
 
   override buildCall(lease: HeldLease): WorkCall {
     const { tokens, text } = this.#stream;
     if (tokens === 0) return super.buildCall(lease);
-    this.start.run.note("resumed", {
+    this.context.execution.note("resumed", {
       peer: lease.upstream,
       detail: `after ${tokens} tokens`,
     });
@@ -71,29 +77,29 @@
       await this.#sendRefusal(answer, options);
       return;
     }
-    this.#stream.startTry();
+    this.#stream.startAttempt();
     try {
       await this.#sendStream(answer, options);
     } catch (thrown) {
-      const end = this.#takeEnd(options);
+      const end = this.#takeDeferredEnd(options);
       if (end === undefined) throw thrown;
       await this.#writePart(end, options);
     }
     this.#collector.putAnswer();
-    await this.start.run.start.sink.end();
+    await this.context.execution.options.sink.end();
   }
 
   override canContinue(): boolean {
     return this.#stream.canResume;
   }
 
-  override async endCut(refusal: Refusal): Promise<void> {
-    const { run } = this.start;
-    const { body } = buildRefusal(refusal, { requestId: run.id });
+  override async endIncomplete(refusal: Refusal): Promise<void> {
+    const { execution } = this.context;
+    const { body } = buildRefusal(refusal, { requestId: execution.id });
     const event = `event: error\ndata: ${body.toString("utf8")}\n\n`;
-    // An orderly end would look like a whole answer to a caller that passes
-    // over the error event and does not wait for `[DONE]`.
-    await run.start.sink.destroyAfter(Buffer.from(event));
+    // A clean end would look like a complete answer to a caller that ignores
+    // the error event and does not wait for `[DONE]`.
+    await execution.options.sink.destroyAfter(Buffer.from(event));
   }
 
   async #sendStream(
@@ -115,7 +121,7 @@
     drainInBackground(iterator);
   }
 
-  /** Passes on the whole events, also those before one that is broken. */
+  /** Forwards complete events, including those before an invalid one. */
   async #sendEvents(
     framer: SseFramer,
     options: RelayOptions & { bytes: Uint8Array },
@@ -131,68 +137,68 @@
       await this.#writePart(part, options);
     }
     if (options.signal.aborted && !this.#stream.isDone) {
-      throw BrokenAnswerError.create("The stream was given up");
+      throw BrokenAnswerError.create("Attempt cancelled during the stream");
     }
   }
 
   async #writePart(part: StreamPart, options: RelayOptions): Promise<void> {
-    const { run } = this.start;
+    const { execution } = this.context;
     options.progress.noteTokens(part.tokens);
-    if (this.#stream.isDone) options.onWhole();
-    run.noteTokens(part.tokens);
+    if (this.#stream.isDone) options.onComplete();
+    execution.noteTokens(part.tokens);
     if (part.bytes.length === 0) return;
     this.#openStream();
     const bytes = part.bytes.length === 1
       ? part.bytes[0]!
       : Buffer.concat(part.bytes);
     this.#collector.noteBytes(bytes);
-    await run.start.sink.write(bytes);
+    await execution.options.sink.write(bytes);
   }
 
-  /** What is left to write where only `[DONE]` did not come. */
-  #takeEnd(options: RelayOptions): StreamPart | undefined {
-    const isWanted = !this.start.run.start.sink.signal.aborted &&
+  /** The events left to write if only `[DONE]` is missing. */
+  #takeDeferredEnd(options: RelayOptions): StreamPart | undefined {
+    const isWanted = !this.context.execution.options.sink.signal.aborted &&
       !options.signal.aborted;
-    return isWanted ? this.#stream.takeHeldEnd() : undefined;
+    return isWanted ? this.#stream.takeDeferredEnd() : undefined;
   }
 
   #openStream(): void {
-    const { run } = this.start;
-    if (run.start.sink.headWritten) return;
-    const headers = buildAnswerHeaders(run, {
+    const { execution } = this.context;
+    if (execution.options.sink.headWritten) return;
+    const headers = buildAnswerHeaders(execution, {
       "content-type": EVENT_STREAM,
       "cache-control": "no-cache",
     });
     this.#collector.noteHead(200, headers);
-    run.start.sink.writeHead(200, headers);
+    execution.options.sink.writeHead(200, headers);
   }
 
-  /** An engine's own refusal of the caller's fields, as it stands. */
+  /** Forwards an engine's 4xx answer unchanged. */
   async #sendRefusal(
     answer: UpstreamAnswer,
     options: RelayOptions,
   ): Promise<void> {
-    const { run } = this.start;
-    const body = await readWhole(answer.body, MAX_REFUSAL_BYTES);
-    if (run.start.sink.headWritten) {
+    const { execution } = this.context;
+    const body = await readBody(answer.body, MAX_REFUSAL_BYTES);
+    if (execution.options.sink.headWritten) {
       throw BrokenAnswerError.create(`Engine answered ${answer.status}`);
     }
-    options.onWhole();
-    await writeWhole(run, answer, body);
+    options.onComplete();
+    await writeAnswer(execution, answer, body);
   }
 }
 
 /**
- * Reads on after `[DONE]` without anyone waiting: a body that is left unread
- * costs its connection, which the next request could have used.
+ * Reads the rest of the body after `[DONE]` in the background: a connection
+ * whose body is not read to its end cannot be reused.
  */
 function drainInBackground(iterator: AsyncIterator<Uint8Array>): void {
-  const readOn = async () => {
+  const readRest = async () => {
     try {
       while (!(await iterator.next()).done);
     } catch {
-      // The answer was whole already; what breaks after it is of no concern.
+      // The answer is complete; a later error does not matter.
     }
   };
-  readOn();
+  readRest();
 }
--- a/src/request/completion_task.ts
+++ b/src/request/completion_task.ts
@@ -1,5 +1,5 @@
 /**
- * One completion, from the caller's bytes to its whole answer.
+ * Runs a completion, from the caller's request to the complete answer.
  *
  * @module
  */
@@ -9,16 +9,16 @@
 import type { CallerSink } from "./caller_sink.ts";
 import { type Completion, parseCompletion } from "./completion_body.ts";
 import { CompletionStreamWork } from "./completion_stream_work.ts";
-import { CompletionWholeWork } from "./completion_whole_work.ts";
+import { CompletionBufferedWork } from "./completion_buffered_work.ts";
 import type { RequestServices } from "./request_services.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 import { type CheckedWork, runRequest } from "./request_task.ts";
-import { isMarkedOnce } from "./service_call.ts";
+import { isMarkedNonIdempotent } from "./service_call.ts";
 
-/** Output tokens that a limit is charged before the real count is known. */
+/** Output tokens charged to the rate limit until the real count is known. */
 const EXPECTED_OUTPUT_TOKENS = 256;
 
-/** Serves a completion; throws `RefusalError` before anything has begun. */
+/** Runs a completion; throws `RefusalError` before an execution has started. */
 export async function runCompletion(
   services: RequestServices,
   options: { request: CallerRequest; sink: CallerSink; snapshot: Snapshot },
@@ -28,23 +28,31 @@
   const requestClass = chooseClass(snapshot, workspace, {
     headers: request.headers,
   });
-  const idempotent = requestClass.idempotent && !isMarkedOnce(request.headers);
-  const asked = { ...options, workspace, requestClass, idempotent };
-  await runRequest(services, asked, (run) => checkWork(run, request));
+  const idempotent = requestClass.idempotent &&
+    !isMarkedNonIdempotent(request.headers);
+  const workRequest = { ...options, workspace, requestClass, idempotent };
+  await runRequest(
+    services,
+    workRequest,
+    (execution) => checkWork(execution, request),
+  );
 }
 
-function checkWork(run: RequestRun, request: CallerRequest): CheckedWork {
-  const { snapshot, requestClass } = run.start;
+function checkWork(
+  execution: RequestExecution,
+  request: CallerRequest,
+): CheckedWork {
+  const { snapshot, requestClass } = execution.options;
   const completion = parseCompletion(request.body, {
     path: request.path,
     snapshot,
     requestClass,
   });
-  const start = { run, completion, path: request.path };
+  const context = { execution, completion, path: request.path };
   return {
     work: completion.stream
-      ? CompletionStreamWork.create(start)
-      : CompletionWholeWork.create(start),
+      ? CompletionStreamWork.create(context)
+      : CompletionBufferedWork.create(context),
     promptTokens: completion.promptTokens,
     expectedTokens: computeExpectedTokens(completion),
   };
--- a/src/request/completion_work.ts
+++ b/src/request/completion_work.ts
@@ -1,42 +1,42 @@
 /**
- * What streamed and whole completions have in common.
+ * Base of streamed and buffered completions.
  *
  * @module
  */
 import type { HeldLease } from "../process/services.ts";
 import type { UpstreamPool } from "../version/records.ts";
 import type { Completion } from "./completion_body.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 import {
-  type LeaseNeeds,
+  type LeaseRequirements,
   UpstreamWork,
   type WorkCall,
 } from "./upstream_work.ts";
 
-/** What a completion's work begins with. */
-export interface CompletionWorkStart {
-  run: RequestRun;
+/** The input of a completion's work. */
+export interface CompletionWorkContext {
+  execution: RequestExecution;
   completion: Completion;
-  /** The engine's path, the same as the caller's. */
+  /** The path at the engine: the same as the caller's. */
   path: string;
 }
 
-/** A completion on a model engine. */
+/** A completion served by a model engine. */
 export abstract class CompletionWork extends UpstreamWork {
-  protected readonly start: CompletionWorkStart;
+  protected readonly context: CompletionWorkContext;
 
-  constructor(start: CompletionWorkStart) {
+  constructor(context: CompletionWorkContext) {
     super();
-    this.start = start;
+    this.context = context;
   }
 
   override get pool(): UpstreamPool {
-    return this.start.completion.pool;
+    return this.context.completion.pool;
   }
 
-  override buildLeaseNeeds(): LeaseNeeds {
+  override buildLeaseRequirements(): LeaseRequirements {
     const { model, adapter, promptTokens, maxTokens, prefixes } =
-      this.start.completion;
+      this.context.completion;
     return {
       model,
       adapter,
@@ -51,16 +51,16 @@
     return this.buildCallWith(lease, { headers: {}, fields: {} });
   }
 
-  /** The call with further headers and body fields. */
+  /** Builds the call with additional headers and body fields. */
   protected buildCallWith(
     lease: HeldLease,
     more: { headers: Record<string, string>; fields: Record<string, unknown> },
   ): WorkCall {
-    const { completion, path, run } = this.start;
+    const { completion, path, execution } = this.context;
     const headers: Record<string, string> = {
       "content-type": "application/json",
       accept: completion.stream ? "text/event-stream" : "application/json",
-      "x-request-id": run.id,
+      "x-request-id": execution.id,
       "x-priority": String(lease.priority),
       ...more.headers,
     };
--- a/src/request/header_codec.ts
+++ b/src/request/header_codec.ts
@@ -1,69 +1,71 @@
 /**
- * How callers and upstreams of routed calls put things into headers.
+ * The header formats of routed calls, for callers and for upstreams.
  *
  * @module
  */
 import type { VmId, WorkspaceName } from "../ids.ts";
 import type { UpstreamSignals } from "./upstream_signals.ts";
 
-/** A part of a prompt that other prompts may begin with as well. */
+/** A part of a prompt that may be shared with other prompts. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What a caller says of a generation before it begins. */
+/** A caller's description of a prompt and of the output it expects. */
 export interface PromptMetadata {
-  /** In order; a part can be cached only where all before it are. */
+  /** In prompt order; a part can be cached only if all parts before it are. */
   parts: PromptPart[];
   promptTokens: number;
   maxTokens: number;
 }
 
-/** What a caller's headers say of its call. */
+/** The contents of a caller's headers. */
 export interface RoutedCall {
   requestId: string | undefined;
-  /** How long the caller waits, in milliseconds from its sending. */
+  /** The caller's timeout, in milliseconds from when it sent the call. */
   timeoutMs: number | undefined;
   prompt: PromptMetadata | undefined;
-  /** The last event of a stream that the caller has already. */
+  /** The id of the last event that the caller has received of a stream. */
   lastEventId: string | undefined;
 }
 
-/** What the router tells an upstream beside the caller's own headers. */
+/** The contents of the headers that the router adds for an upstream. */
 export interface UpstreamMetadata {
-  /** The replica that is meant, and no other at its address. */
+  /** The intended replica; any other replica at its address must refuse. */
   upstream: VmId;
-  /** Undefined on routes that need no key. */
+  /** Undefined on routes that need no API key. */
   workspace: WorkspaceName | undefined;
   /** Time until the caller's deadline, in milliseconds. */
   leftMs: number;
   /** 0 is the most urgent. */
   priority: number;
   lastEventId: string | undefined;
-  /** Another upstream that hands over parts of the prompt, as IP:PORT. */
+  /** Another upstream to fetch cached prompt parts from, as IP:PORT. */
   fetchFrom?: string | undefined;
 }
 
-/** What an answer's head says of the work. */
+/** The contents of an answer's head. */
 export interface AnswerMetadata {
-  /** The request that is answered; undefined where it is not named. */
+  /** The id of the answered request; undefined if the answer has none. */
   requestId: string | undefined;
-  /** The upstream's word that it did not run the request and never will. */
+  /**
+   * Whether the upstream states that it did not and will not run the request.
+   */
   isNotExecuted: boolean;
   /** Whether the answer carries the upstream's signature. */
   isSigned: boolean;
-  /** Undefined where another replica answered than the one that was meant. */
+  /** Undefined if a replica other than the intended one answered. */
   signals: UpstreamSignals | undefined;
 }
 
-/** Reads and writes the headers of routed calls. Names in lower case. */
+/** Reads and writes the headers of routed calls, by lower-case name. */
 export abstract class HeaderCodec {
   abstract readCall(headers: Record<string, string>): RoutedCall;
-  /** The caller's headers, less its own secrets, with the router's words. */
+  /** The caller's headers without its credentials, plus the router's own. */
   abstract buildHeaders(
     callerHeaders: Record<string, string>,
-    facts: UpstreamMetadata,
+    metadata: UpstreamMetadata,
   ): Record<string, string>;
   abstract readAnswer(
     status: number,
--- a/src/request/index.ts
+++ b/src/request/index.ts
@@ -1,5 +1,5 @@
 /**
- * What lives for one request.
+ * The request layer: types and handlers of callers' requests.
  *
  * @module
  */
--- a/src/request/prompt_prefixes.ts
+++ b/src/request/prompt_prefixes.ts
@@ -1,21 +1,20 @@
 /**
- * Hashes of a prompt's growing prefixes, by which replicas that hold them in
- * their cache are found.
+ * Hashes of a prompt's prefixes, used to find replicas that have them cached.
  *
  * @module
  */
 import { createHash } from "node:crypto";
 
-/** Characters that one hash covers more than the one before it. */
+/** Characters by which each hashed prefix is longer than the one before. */
 export const PREFIX_BLOCK_CHARACTERS = 1024;
-/** Hashes for one prompt; longer prompts share the last one. */
+/** Limit on hashes of one prompt; text beyond the last one is not hashed. */
 export const MAX_PREFIXES = 16;
 const HASH_LENGTH = 16;
 const CHARACTERS_PER_TOKEN = 4;
 
 /**
- * Hashes the whole blocks of `prompt`, shortest prefix first. Prompts for
- * different models or adapters share no hash: nor do their caches.
+ * Hashes the full blocks of `prompt`, shortest prefix first. Prompts for
+ * different models or adapters share no hash, as they share no cache.
  */
 export function computePrefixes(prompt: string, model: string): string[] {
   const blocks = Math.min(
@@ -32,7 +31,7 @@
   return prefixes;
 }
 
-/** A rough count of a prompt's tokens. */
+/** Estimates the number of tokens in a prompt. */
 export function countPromptTokens(prompt: string): number {
   return Math.ceil(prompt.length / CHARACTERS_PER_TOKEN);
 }
--- a/src/request/refusal_outcome.ts
+++ b/src/request/refusal_outcome.ts
@@ -1,5 +1,5 @@
 /**
- * What a refusal may say of a request id that the caller took beforehand.
+ * The outcome of refusals that carry a request id issued beforehand.
  *
  * @module
  */
@@ -7,17 +7,18 @@
 import { parseRequestId } from "../process/request_ids.ts";
 
 /**
- * What goes wrong without it: a caller that resubmits a request which ran, to
- * a VM without a configuration or with a body that is too large now, would read
- * "not run", because this submission reached no upstream. Of an id that was not
- * asked about, nothing is known; `already_submitted` is what its issuer said.
+ * Changes `not_run` to `unknown` if the request id may have been submitted
+ * before. Otherwise a caller that resubmits a request which ran, to a VM
+ * without a configuration or with a body over the size limit, would read
+ * `not_run` because this submission reached no upstream. `already_submitted` is
+ * kept: its outcome comes from the VM that issued the id.
  */
 export function withProvableOutcome(
   refusal: Refusal,
   givenId: string | undefined,
 ): Refusal {
-  const isAsked = refusal.code === "already_submitted";
-  if (refusal.outcome !== "not_run" || isAsked) return refusal;
+  const isFromIssuer = refusal.code === "already_submitted";
+  if (refusal.outcome !== "not_run" || isFromIssuer) return refusal;
   if (givenId === undefined || parseRequestId(givenId) === undefined) {
     return refusal;
   }
--- a/src/request/request_fingerprint.ts
+++ b/src/request/request_fingerprint.ts
@@ -1,5 +1,5 @@
 /**
- * What stays the same when a caller repeats a request.
+ * A hash that stays the same when a caller repeats a request.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import { type RequestFingerprint, toId, type WorkspaceName } from "../ids.ts";
 import type { CallerRequest } from "./caller_request.ts";
 
-/** Two requests alike by chance are not to be expected at 64 bits. */
+/** 64 bits: an accidental collision of two requests is negligible. */
 const HEX_DIGITS = 16;
 const PORT_SUFFIX = /:\d+$/;
-/** Stands in none of the fields before the body. */
+/** Occurs in none of the fields before the body. */
 const SEPARATOR = "\0";
 
-/** The host that a request names, in lower case and without its port. */
+/** The `host` header in lower case, without the port. */
 export function readHost(request: Pick<CallerRequest, "headers">): string {
   return (request.headers["host"] ?? "").toLowerCase()
     .replace(PORT_SUFFIX, "");
--- a/src/request/run_phases.ts
+++ b/src/request/request_phases.ts
@@ -1,13 +1,13 @@
 /**
- * Where a request's time goes.
+ * Measures the time that a request spends in each phase.
  *
  * @module
  */
 import { match } from "ts-pattern";
 import type { RequestStepName } from "./request_status.ts";
 
-/** What a request waits for. */
-export type RunPhase =
+/** A phase of a request, named after what it waits for. */
+export type RequestPhase =
   | "claim"
   | "admit"
   | "queue"
@@ -16,35 +16,35 @@
   | "stream"
   | "end";
 
-/** Adds up the time of each phase, told by the steps between them. */
-export class RunPhases {
-  readonly #onPhase: (phase: RunPhase, ms: number) => void;
-  readonly #spentMs = new Map<RunPhase, number>();
-  #current: RunPhase = "claim";
+/** Adds up the time spent in each phase; steps mark the boundaries. */
+export class RequestPhases {
+  readonly #onPhase: (phase: RequestPhase, ms: number) => void;
+  readonly #spentMs = new Map<RequestPhase, number>();
+  #current: RequestPhase = "claim";
   #since: number;
 
   constructor(
     startedAt: number,
-    onPhase: (phase: RunPhase, ms: number) => void,
+    onPhase: (phase: RequestPhase, ms: number) => void,
   ) {
     this.#since = startedAt;
     this.#onPhase = onPhase;
   }
 
-  /** `onPhase` hears of each stay in a phase as it ends. */
+  /** `onPhase` is called each time a phase ends, with its duration. */
   static create(
     startedAt: number,
-    onPhase: (phase: RunPhase, ms: number) => void,
-  ): RunPhases {
-    return new RunPhases(startedAt, onPhase);
+    onPhase: (phase: RequestPhase, ms: number) => void,
+  ): RequestPhases {
+    return new RequestPhases(startedAt, onPhase);
   }
 
-  get current(): RunPhase {
+  get current(): RequestPhase {
     return this.#current;
   }
 
-  /** The phase that took longest in all. */
-  get slowest(): RunPhase {
+  /** The phase with the longest total time. */
+  get slowest(): RequestPhase {
     let slowest = this.#current;
     for (const [phase, ms] of this.#spentMs) {
       if (ms > (this.#spentMs.get(slowest) ?? 0)) slowest = phase;
@@ -52,7 +52,7 @@
     return slowest;
   }
 
-  /** A step at `now` ends one phase and begins the next. */
+  /** Applies a step at `now`, which may end one phase and start the next. */
   noteStep(step: RequestStepName, now: number): void {
     const next = chooseNextPhase(step);
     if (next === this.#current) return;
@@ -65,9 +65,9 @@
   }
 }
 
-function chooseNextPhase(step: RequestStepName): RunPhase {
+function chooseNextPhase(step: RequestStepName): RequestPhase {
   return match(step)
-    .returnType<RunPhase>()
+    .returnType<RequestPhase>()
     .with("arrived", () => "claim")
     .with("claimed", () => "admit")
     .with(
--- a/src/request/request_services.ts
+++ b/src/request/request_services.ts
@@ -1,5 +1,5 @@
 /**
- * What requests take from their process.
+ * The parts of the process that requests use.
  *
  * @module
  */
@@ -20,7 +20,7 @@
 import type { UnreadableHeaderLog } from "../process/unreadable_header_log.ts";
 import type { Snapshot } from "../version/records.ts";
 
-/** The process-wide parts behind every request. */
+/** The process-wide services that every request uses. */
 export interface RequestServices {
   environment: LocalEnvironment;
   /** The configuration in force; undefined until there is one. */
@@ -31,20 +31,20 @@
   requestStatuses: RequestStatusStore;
   retryBudget: RetryBudget;
   quarantine: Quarantine;
-  /** Log lines on what upstreams ask and cannot be read. */
+  /** Logs upstream headers whose values are invalid. */
   unreadableHeaders: UnreadableHeaderLog;
   metrics: RequestMetrics;
   answers: AnswerStore;
   isDraining: () => boolean;
-  /** How refusals are told where callers go by the status alone. */
+  /** Status and headers of refusals, if callers rely on the status alone. */
   buildRefusalOptions?: (
     refusal: Refusal,
   ) => { status: number; headers: Record<string, string> };
-  /** The body of `GET /v1/entries`. */
+  /** Builds the body of `GET /v1/entries`. */
   entries: (query: URLSearchParams) => unknown;
   /**
-   * The fate from whichever VM knows it. Rejects when the VM that would know
-   * cannot be asked.
+   * Finds a request's status, on this VM or another. Rejects if the VM that has
+   * it cannot be reached.
    */
   findStatus: (
     requestId: RequestId,
--- a/src/request/request_status.ts
+++ b/src/request/request_status.ts
@@ -1,12 +1,12 @@
 /**
- * The record of what became of one request, step by step.
+ * The status of one request, with the steps that it went through.
  *
  * @module
  */
 import type { ClassName, RequestId, VmId, WorkspaceName } from "../ids.ts";
 import type { RefusalCode, RunOutcome } from "../outcome.ts";
 
-/** The steps that a request can take. */
+/** The steps of a request. */
 export type RequestStepName =
   | "arrived"
   | "claimed"
@@ -25,31 +25,31 @@
   | "cancelled"
   | "unknown";
 
-/** One step with its time, peer and cause. */
+/** One step of a request. */
 export interface RequestStep {
   step: RequestStepName;
   /** Time since the request arrived at this VM, in milliseconds. */
   ageMs: number;
   /** The VM or upstream on the other side. */
   peer?: string;
-  /** Why, or behind whom, in plain words. */
+  /** The cause, or the state of the queue, as free text. */
   detail?: string | undefined;
 }
 
-/** Everything that a VM knows of one request. */
+/** Everything that a VM has recorded about one request. */
 export interface RequestStatus {
   requestId: RequestId;
-  /** The VM that ran the request's task. */
+  /** The VM that handled the request. */
   vm: VmId;
   workspace: WorkspaceName | undefined;
   className: ClassName | undefined;
-  /** Calendar time of arrival on this VM's own clock. */
+  /** Wall-clock time of arrival, by that VM's own clock, in ISO 8601. */
   arrivedAt: string;
   configVersion: number;
   outcome: RunOutcome | "running" | "answered";
   code: RefusalCode | undefined;
   steps: RequestStep[];
-  /** Steps left out because the record reached its bound. */
+  /** Steps not recorded because the limit was reached. */
   droppedSteps: number;
   tokens: number;
 }
--- a/src/request/request_status_page.ts
+++ b/src/request/request_status_page.ts
@@ -11,12 +11,12 @@
 import type { RequestStatus } from "./request_status.ts";
 import type { RequestServices } from "./request_services.ts";
 
-/** A fate as callers and operators read it, or why it is not known. */
+/** A request's status as JSON, or the reason why it is unknown. */
 export type RequestStatusPage = Record<string, unknown>;
 
 /**
- * Finds what became of a request of `workspace`. Throws `RefusalError`
- * (`not_found`) for another workspace's.
+ * Finds the status of a request of `workspace`. Throws `RefusalError`
+ * (`not_found`) for a request of another workspace.
  */
 export async function buildStatusPage(
   services: RequestServices,
@@ -30,9 +30,9 @@
     return buildUnreachablePage(requestId, thrown);
   }
   if (found.fate === undefined) {
-    const why = "No VM that could know keeps a record of it: it was never " +
-      "submitted, its VM was replaced, or the record had to make room";
-    return buildUnknown(requestId, why);
+    const why = "No VM has a record of the request: it was never " +
+      "submitted, its VM was replaced, or the record was evicted";
+    return buildUnknownPage(requestId, why);
   }
   if (found.fate.workspace === workspace.name) {
     return formatStatusPage(found.fate);
@@ -44,39 +44,41 @@
   });
 }
 
-/** The page of a request whose VM cannot be asked, with the reason. */
+/** Builds the page of a request whose status cannot be determined. */
 export function buildUnreachablePage(
   requestId: RequestId,
   thrown: unknown,
 ): RequestStatusPage {
-  const why = `The VM that would know cannot be asked: ${
+  const why = `The request's status cannot be determined: ${
     toError(thrown).message
   }`;
-  return buildUnknown(requestId, why);
+  return buildUnknownPage(requestId, why);
 }
 
-/** Writes a record as a page. */
-export function formatStatusPage(fate: RequestStatus): RequestStatusPage {
+export function formatStatusPage(status: RequestStatus): RequestStatusPage {
   return {
-    request_id: fate.requestId,
-    outcome: fate.outcome,
-    code: fate.code,
-    vm: fate.vm,
-    workspace: fate.workspace,
-    class: fate.className,
-    arrived_at: fate.arrivedAt,
-    config_version: fate.configVersion,
-    tokens: fate.tokens,
-    steps: fate.steps.map((step) => ({
+    request_id: status.requestId,
+    outcome: status.outcome,
+    code: status.code,
+    vm: status.vm,
+    workspace: status.workspace,
+    class: status.className,
+    arrived_at: status.arrivedAt,
+    config_version: status.configVersion,
+    tokens: status.tokens,
+    steps: status.steps.map((step) => ({
       step: step.step,
       age_ms: step.ageMs,
       peer: step.peer,
       detail: step.detail,
     })),
-    dropped_steps: fate.droppedSteps,
+    dropped_steps: status.droppedSteps,
   };
 }
 
-function buildUnknown(requestId: RequestId, why: string): RequestStatusPage {
+function buildUnknownPage(
+  requestId: RequestId,
+  why: string,
+): RequestStatusPage {
   return { request_id: requestId, outcome: "unknown", why, steps: [] };
 }
--- a/src/request/request_task.ts
+++ b/src/request/request_task.ts
@@ -1,6 +1,6 @@
 /**
- * What completions and service calls do alike, straight down: authenticate,
- * claim, check, admit, work, end.
+ * The steps that completions and service calls share: claim the execution,
+ * check the request, pass the rate limits, run the work, record the result.
  *
  * @module
  */
@@ -14,17 +14,15 @@
 import type { CallerSink } from "./caller_sink.ts";
 import type { RequestServices } from "./request_services.ts";
 import { computeFingerprint } from "./request_fingerprint.ts";
-import { RequestRun } from "./request_run.ts";
+import { RequestExecution } from "./request_execution.ts";
 import { answerResubmission } from "./resubmission.ts";
-import { runTries } from "./attempts.ts";
+import { runAttempts } from "./attempts.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
-/** Carries an id that the caller took from `POST /v1/requests`. */
+/** A single-use id cannot be claimed by another submission. */
+const SINGLE_USE_CLAIM = { kind: "granted" as const, isValid: () => true };
 
-/** Nobody else can run an id that goes with this submission alone. */
-const OWN_CLAIM = { kind: "granted" as const, isStanding: () => true };
-
-/** One call that asks for work. */
+/** One authenticated call. */
 export interface WorkRequest {
   request: CallerRequest;
   sink: CallerSink;
@@ -34,127 +32,129 @@
   idempotent: boolean;
 }
 
-/** Work that was checked, and what its limits are charged at first. */
+/** Validated work, with the token estimate that is charged to the limits. */
 export interface CheckedWork {
   work: UpstreamWork;
-  /** Tokens of the prompt. */
   promptTokens: number;
-  /** Tokens that the answer is taken to have until it is known. */
+  /** Estimated tokens of the answer, until the real count is known. */
   expectedTokens: number;
 }
 
 /**
- * Runs one request to its end. `checkWork` throws `RefusalError` for a request
- * that cannot be done. Rejects only where nothing has been answered and no run
- * was begun.
+ * Runs one request to its end. `checkWork` throws `RefusalError` for an invalid
+ * request. Rejects only if no execution was started and nothing was written to
+ * the caller.
  */
 export async function runRequest(
   services: RequestServices,
-  asked: WorkRequest,
-  checkWork: (run: RequestRun) => CheckedWork,
+  workRequest: WorkRequest,
+  checkWork: (execution: RequestExecution) => CheckedWork,
 ): Promise<void> {
-  const givenId = asked.request.headers[REQUEST_ID_HEADER];
+  const givenId = workRequest.request.headers[REQUEST_ID_HEADER];
   const requestId = givenId === undefined
     ? services.claims.issueSingleUseId()
     : checkGivenId(givenId);
   const claim = givenId === undefined
-    ? OWN_CLAIM
+    ? SINGLE_USE_CLAIM
     : await services.claims.claimExecution(requestId);
   if (claim.kind !== "granted") {
-    const { workspace, sink } = asked;
+    const { workspace, sink } = workRequest;
     await answerResubmission(services, { requestId, workspace, sink }, claim);
     return;
   }
-  const run = RequestRun.create(services, {
+  const execution = RequestExecution.create(services, {
     requestId,
-    fingerprint: computeFingerprint(asked.request, asked.workspace.name),
-    workspace: asked.workspace,
-    requestClass: asked.requestClass,
-    snapshot: asked.snapshot,
-    arrivedAt: asked.request.arrivedAt,
-    sink: asked.sink,
-    idempotent: asked.idempotent,
-    isClaimStanding: claim.isStanding,
+    fingerprint: computeFingerprint(
+      workRequest.request,
+      workRequest.workspace.name,
+    ),
+    workspace: workRequest.workspace,
+    requestClass: workRequest.requestClass,
+    snapshot: workRequest.snapshot,
+    arrivedAt: workRequest.request.arrivedAt,
+    sink: workRequest.sink,
+    idempotent: workRequest.idempotent,
+    isClaimValid: claim.isValid,
     retainsAnswer: givenId !== undefined,
   });
-  if (givenId !== undefined) run.note("claimed");
-  await runClaimed(run, checkWork);
+  if (givenId !== undefined) execution.note("claimed");
+  await runExecution(execution, checkWork);
 }
 
-/** An id made up by the caller names no VM that could hold its one run. */
+/** Rejects ids made up by callers: they name no VM that records the claim. */
 function checkGivenId(givenId: string): RequestId {
   if (parseRequestId(givenId) !== undefined) return toId<RequestId>(givenId);
   throw new RefusalError({
     code: "bad_request",
-    message: `${REQUEST_ID_HEADER}: Not an id from POST /v1/requests`,
+    message: `${REQUEST_ID_HEADER}: not an id issued by POST /v1/requests`,
     outcome: "not_run",
   });
 }
 
-/** Runs a request whose id is claimed, and tells the caller how it ended. */
-export async function runClaimed(
-  run: RequestRun,
-  checkWork: (run: RequestRun) => CheckedWork,
+/** Runs a claimed request and writes a refusal to the caller if it fails. */
+export async function runExecution(
+  execution: RequestExecution,
+  checkWork: (execution: RequestExecution) => CheckedWork,
 ): Promise<void> {
   let checked: CheckedWork | undefined;
   try {
-    checked = checkWork(run);
-    await runAdmitted(run, checked);
-    run.end({ kind: "answered" });
+    checked = checkWork(execution);
+    await runAdmitted(execution, checked);
+    execution.end({ kind: "answered" });
   } catch (thrown) {
-    const refusal = toRefusal(run, thrown);
+    const refusal = toRefusal(execution, thrown);
     const kind = refusal.code === "cancelled" ? "cancelled" : "refused";
-    run.end({ kind, refusal });
-    await writeEnd(run, refusal, checked?.work);
+    execution.end({ kind, refusal });
+    await writeEnd(execution, refusal, checked?.work);
   }
 }
 
 async function runAdmitted(
-  run: RequestRun,
+  execution: RequestExecution,
   checked: CheckedWork,
 ): Promise<void> {
-  const { limits } = run.services;
-  const workspace = run.start.workspace.name;
+  const { limits } = execution.services;
+  const workspace = execution.options.workspace.name;
   const estimated = checked.promptTokens + checked.expectedTokens;
   await limits.admit(workspace, estimated);
-  run.note("admitted");
+  execution.note("admitted");
   try {
-    await runTries(run, checked.work);
+    await runAttempts(execution, checked.work);
   } finally {
-    const hasRun = run.getOutcome() !== "not_run";
-    const actual = hasRun ? checked.promptTokens + run.tokens : 0;
+    const hasRun = execution.getOutcome() !== "not_run";
+    const actual = hasRun ? checked.promptTokens + execution.tokens : 0;
     limits.settle(workspace, { estimated, actual });
   }
 }
 
-/** Tells the caller at once; where the answer has begun, cuts it. */
+/** Writes the refusal, or aborts the answer if its head has been written. */
 async function writeEnd(
-  run: RequestRun,
+  execution: RequestExecution,
   refusal: Refusal,
   work: UpstreamWork | undefined,
 ): Promise<void> {
-  const { sink } = run.start;
+  const { sink } = execution.options;
   if (sink.signal.aborted) return;
   if (sink.headWritten && work !== undefined) {
-    await work.endCut(refusal);
+    await work.endIncomplete(refusal);
     return;
   }
   await writeRefusal(sink, refusal, {
-    requestId: run.id,
-    ...run.services.buildRefusalOptions?.(refusal),
+    requestId: execution.id,
+    ...execution.services.buildRefusalOptions?.(refusal),
   });
 }
 
-function toRefusal(run: RequestRun, thrown: unknown): Refusal {
+function toRefusal(execution: RequestExecution, thrown: unknown): Refusal {
   if (thrown instanceof RefusalError) return thrown.refusal;
   const error = toError(thrown);
-  run.services.environment.log.error("request_failed", {
-    request_id: run.id,
+  execution.services.environment.log.error("request_failed", {
+    request_id: execution.id,
     error: error.stack ?? error.message,
   });
   return {
     code: "internal",
-    message: "The router failed",
-    outcome: run.getOutcome(),
+    message: "Internal error in the router",
+    outcome: execution.getOutcome(),
   };
 }
--- a/src/request/resubmission.ts
+++ b/src/request/resubmission.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller gets that submits an id whose run is not its to begin.
+ * Answers a submission of an id whose execution cannot be claimed.
  *
  * @module
  */
@@ -24,7 +24,7 @@
 const STILL_RUNNING_RETRY_MS = 1_000;
 const UNREACHABLE_RETRY_MS = 2_000;
 
-/** Who resubmits what. */
+/** One resubmission of a request id. */
 export interface Resubmission {
   requestId: RequestId;
   workspace: Workspace;
@@ -32,8 +32,9 @@
 }
 
 /**
- * Replays the first run's answer where it is kept; throws `RefusalError` with
- * the first run's outcome where it is not. Nothing runs.
+ * Replays the answer of the first execution if it was retained; otherwise
+ * throws `RefusalError` with the outcome of that execution. Starts no
+ * execution.
  */
 export async function answerResubmission(
   services: RequestServices,
@@ -44,16 +45,16 @@
     .with({ kind: "taken" }, (each) => each)
     .with({ kind: "unknown_id" }, () => {
       throw createUnknown(
-        "The request id is not one that can be submitted now: it has " +
-          "expired, or did not come from POST /v1/requests",
+        "The request id cannot be submitted: it has expired or " +
+          "was not issued by POST /v1/requests",
       );
     })
     .with({ kind: "unreachable" }, ({ issuer, why }) => {
-      // Where this VM itself issued the id, an earlier process of it did, and
-      // that one does not come back.
+      // If this VM issued the id, it was an earlier process of it, whose claims
+      // are lost for good.
       const mayAnswerLater = issuer !== services.environment.vm;
       throw createUnknown(
-        `VM ${issuer}, which issued the request id, cannot tell: ${why}`,
+        `VM ${issuer}, the issuer of the request id, cannot answer: ${why}`,
         mayAnswerLater ? UNREACHABLE_RETRY_MS : undefined,
       );
     })
@@ -70,20 +71,23 @@
   resubmission: Resubmission,
   runner: VmId,
 ): Promise<RetainedAnswer | undefined> {
-  const found = await findFateAt(services, resubmission.requestId, runner);
-  // Another workspace's answer is nobody else's to read, whoever has the id.
+  const found = await findStatusAt(services, resubmission.requestId, runner);
+  // An answer is returned only to the workspace that it belongs to.
   const isOwn = found?.fate?.workspace === resubmission.workspace.name;
   return isOwn ? found?.answer : undefined;
 }
 
-async function findFateAt(
+async function findStatusAt(
   services: RequestServices,
   requestId: RequestId,
   runner: VmId,
 ): Promise<RequestStatusAnswer | undefined> {
-  const { environment, requestStatuses: fates, answers } = services;
+  const { environment, requestStatuses, answers } = services;
   if (runner === environment.vm) {
-    return { fate: fates.find(requestId), answer: answers.find(requestId) };
+    return {
+      fate: requestStatuses.find(requestId),
+      answer: answers.find(requestId),
+    };
   }
   try {
     return await environment.peers?.getPeer(runner)
@@ -103,18 +107,18 @@
     .returnType<Refusal>()
     .with("running", () => ({
       code: "already_submitted",
-      message: `The request runs at VM ${claim.runner}`,
+      message: `The request is running on VM ${claim.runner}`,
       outcome: "unknown",
       retryAfterMs: STILL_RUNNING_RETRY_MS,
     }))
     .with("answered", () => ({
       code: "already_submitted",
-      message: "The request was answered; its answer is no longer kept",
+      message: "The request was answered; its answer is no longer retained",
       outcome: "ran",
     }))
     .with("ran", "unknown", "not_run", (outcome: RunOutcome) => ({
       code: "already_submitted",
-      message: `The request was submitted before at VM ${claim.runner}`,
+      message: `The request was submitted before, to VM ${claim.runner}`,
       outcome,
     }))
     .exhaustive();
--- a/src/request/retry_rules.ts
+++ b/src/request/retry_rules.ts
@@ -1,74 +1,74 @@
 /**
- * When a failed or silent try of a request is followed by another one.
+ * Rules for retrying a failed or silent attempt.
  *
  * @module
  */
 import { type Refusal, RefusalError } from "../outcome.ts";
 import type { HeldLease } from "../process/services.ts";
-import type { RequestRun } from "./request_run.ts";
-import type { TryFailure } from "./attempt_failure.ts";
+import type { RequestExecution } from "./request_execution.ts";
+import type { AttemptFailure } from "./attempt_failure.ts";
 import type { UpstreamWork } from "./upstream_work.ts";
 
-/** Tries that may fail for one request, the first one included. */
-const MAX_TRIES = 4;
-/** When a caller may come back after a try that failed, in milliseconds. */
+/** Limit on failed attempts of one request, including the first. */
+const MAX_FAILED_ATTEMPTS = 4;
+/** Retry-after that callers receive when an attempt failed, in milliseconds. */
 export const FAILED_RETRY_AFTER_MS = 1_000;
 
-/** Throws unless the work may and can be sent once more. */
+/** Throws `RefusalError` unless the work may be sent again. */
 export async function checkRetry(
-  run: RequestRun,
+  execution: RequestExecution,
   work: UpstreamWork,
   options: {
-    failure: TryFailure;
+    failure: AttemptFailure;
     /** Resolves once it is known whether the replica crashed. */
-    noted: Promise<void>;
-    tries: number;
+    crashCheck: Promise<void>;
+    failures: number;
     sends: number;
   },
 ): Promise<void> {
-  const { failure, noted, tries, sends } = options;
-  const giveUp = (
+  const { failure, crashCheck, failures, sends } = options;
+  const createFailure = (
     why: string,
     retryAfterMs = FAILED_RETRY_AFTER_MS,
   ): RefusalError =>
-    createRefusal(run, {
+    createRefusal(execution, {
       code: failure.code,
       message: `${failure.message}; ${why}`,
       retryAfterMs,
     });
-  // Work that may run at most once: once a byte is out nobody can tell what
-  // the upstream did with it, and a second send could double a slot hold.
-  if (!run.start.idempotent && failure.wasSent) {
-    throw giveUp("work that is not idempotent is sent once");
+  // Once a byte was sent, the upstream may have run the work; sending work that
+  // is not idempotent again could, for example, book two slots.
+  if (!execution.options.idempotent && failure.wasSent) {
+    throw createFailure("work that is not idempotent is not retried");
   }
-  if (tries >= MAX_TRIES || sends >= work.maxSends) {
-    throw giveUp("no more tries are made");
+  if (failures >= MAX_FAILED_ATTEMPTS || sends >= work.maxSends) {
+    throw createFailure("the limit on attempts is reached");
   }
-  await noted;
-  const heldMs = getHeldMs(run);
-  if (heldMs > 0) throw giveUp("replicas crash under the request", heldMs);
-  checkCanContinue(run, work, failure.message);
-  // A try that never reached an upstream loads none of those that are left.
+  await crashCheck;
+  const leftMs = getQuarantineMs(execution);
+  if (leftMs > 0) throw createFailure("the request crashes replicas", leftMs);
+  checkCanContinue(execution, work, failure.message);
+  // An attempt that was not sent put no load on an upstream: no budget needed.
   if (!failure.wasSent) return;
-  if (!run.services.retryBudget.takeRetry(work.pool.name)) {
-    throw giveUp("the retry budget is spent");
+  if (!execution.services.retryBudget.takeRetry(work.pool.name)) {
+    throw createFailure("the retry budget is spent");
   }
 }
 
-/** Throws unless another try could still give the caller its answer. */
+/** Throws `RefusalError` unless another attempt can complete the answer. */
 export function checkCanContinue(
-  run: RequestRun,
+  execution: RequestExecution,
   work: UpstreamWork,
   cause: string,
 ): void {
-  if (run.isPastUse) {
-    throw createRefusal(run, {
+  if (execution.isTooLate) {
+    throw createRefusal(execution, {
       code: "deadline_passed",
-      message: `${cause}; the target has passed`,
+      message: `${cause}; the deadline has passed`,
     });
   }
   if (!work.canContinue()) {
-    throw createRefusal(run, {
+    throw createRefusal(execution, {
       code: "upstream_failed",
       message: `${cause}; the answer cannot be resumed`,
     });
@@ -76,53 +76,54 @@
 }
 
 /**
- * Throws where the request is held back because replicas crash under it, after
- * `onHeld`. Without this it ends one replica after the other: resumed by its VM
- * and repeated by its caller, each attempt under an id that nobody knows yet.
+ * Calls `onQuarantined` and throws if the request is quarantined because
+ * replicas crash while running it. Without quarantine, it would crash one
+ * replica after the other: its VM resumes it, and its caller repeats it under
+ * new ids.
  */
 export function checkQuarantine(
-  run: RequestRun,
-  onHeld: () => void = () => {},
+  execution: RequestExecution,
+  onQuarantined: () => void = () => {},
 ): void {
-  const heldMs = getHeldMs(run);
-  if (heldMs === 0) return;
-  onHeld();
-  throw createRefusal(run, {
+  const leftMs = getQuarantineMs(execution);
+  if (leftMs === 0) return;
+  onQuarantined();
+  throw createRefusal(execution, {
     code: "quarantined",
-    message: "Replicas crash under this request; it is kept from them",
-    retryAfterMs: heldMs,
+    message: "The request crashes replicas and is quarantined",
+    retryAfterMs: leftMs,
   });
 }
 
 /**
- * Whether a silent try should go on: its replica works on what came before, or
- * nothing could take the try's place.
+ * Whether to keep waiting for a silent attempt: its replica is still working on
+ * other requests, or there is no budget for a retry.
  *
- * Without this a queue at the replicas is taken for their death. Requests are
- * cut while they wait, read again at another replica that is as busy, and spend
- * the retry budget that real failures need: seen as first-byte timeouts and
- * ejections at replicas that answer others. A stream cut with no retry left
- * would be lost to its caller for nothing.
+ * Without this rule, a replica with a long queue is treated as failed: waiting
+ * requests are cancelled and prefilled again at another replica that is just as
+ * busy, busy replicas are ejected after first-byte timeouts, and the retry
+ * budget is spent before a real failure needs it. Without budget, cancelling
+ * the attempt would only lose the answer.
  */
 export function isWorthWaiting(
-  run: RequestRun,
+  execution: RequestExecution,
   work: UpstreamWork,
   lease: HeldLease,
 ): boolean {
   return lease.isUpstreamAlive() ||
-    !run.services.retryBudget.hasRetry(work.pool.name);
+    !execution.services.retryBudget.hasRetry(work.pool.name);
 }
 
-/** A refusal whose outcome covers every send of the run. */
+/** Creates a refusal whose outcome covers all attempts of the execution. */
 export function createRefusal(
-  run: RequestRun,
+  execution: RequestExecution,
   refusal: Omit<Refusal, "outcome">,
 ): RefusalError {
-  const outcome = run.getOutcome();
+  const outcome = execution.getOutcome();
   return new RefusalError({ ...refusal, outcome });
 }
 
-/** How long the request must not be sent, in whole milliseconds. */
-function getHeldMs({ services, start }: RequestRun): number {
-  return Math.ceil(services.quarantine.getQuarantineMs(start.fingerprint));
+/** Remaining quarantine of the request, in whole milliseconds. */
+function getQuarantineMs({ services, options }: RequestExecution): number {
+  return Math.ceil(services.quarantine.getQuarantineMs(options.fingerprint));
 }
--- a/src/request/routed_call_work.ts
+++ b/src/request/routed_call_work.ts
@@ -1,5 +1,5 @@
 /**
- * A routed call whose answer is a body of some size.
+ * Routed calls whose answer is not an event stream.
  *
  * @module
  */
@@ -7,29 +7,29 @@
   CallLimits,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
-import { RoutedWork, type RoutedWorkStart } from "./routed_work.ts";
-import { checkWanted, type RelayOptions } from "./upstream_work.ts";
+import { RoutedWork, type RoutedWorkContext } from "./routed_work.ts";
+import { checkNotCancelled, type RelayOptions } from "./upstream_work.ts";
 
 /**
- * Bodies up to this size, in bytes, are read whole before the first byte goes
- * on: one that breaks off can then be told as a failure, or be fetched again.
+ * Answers up to this size are buffered before the first byte is forwarded. If
+ * one breaks off, the call can then still be retried or answered with an error.
  */
-const MAX_HELD_BYTES = 262_144;
+const MAX_BUFFERED_BYTES = 262_144;
 /**
- * The part of the time left that an idempotent call gives one replica to
- * begin its answer, so that a replica that hangs leaves time for another.
+ * Share of the remaining time within which a replica must start its answer to
+ * an idempotent call. If it hangs, the rest is left for an attempt at another.
  */
-const FIRST_REPLICA_SHARE = 0.5;
+const FIRST_ATTEMPT_SHARE = 0.5;
 
-/** Passes one call on and its answer back. */
+/** Forwards one call and its answer. */
 export class RoutedCallWork extends RoutedWork {
-  static create(start: RoutedWorkStart): RoutedCallWork {
-    return new RoutedCallWork(start);
+  static create(context: RoutedWorkContext): RoutedCallWork {
+    return new RoutedCallWork(context);
   }
 
   override computeLimits(leftMs: number): CallLimits {
     const firstByteMs = this.canSendAgain()
-      ? leftMs * FIRST_REPLICA_SHARE
+      ? leftMs * FIRST_ATTEMPT_SHARE
       : leftMs;
     return { firstByteMs, betweenBytesMs: leftMs, totalMs: leftMs };
   }
@@ -39,42 +39,44 @@
     options: RelayOptions,
   ): Promise<void> {
     this.checkHead(answer, options);
-    const { sink } = this.start.run.start;
-    const held: Uint8Array[] = [];
-    let heldBytes = 0;
+    const { sink } = this.context.execution.options;
+    const chunks: Uint8Array[] = [];
+    let bufferedBytes = 0;
     for await (const bytes of answer.body) {
-      checkWanted(options);
+      checkNotCancelled(options);
       if (!sink.headWritten) {
-        held.push(bytes);
-        heldBytes += bytes.length;
-        if (heldBytes <= MAX_HELD_BYTES) continue;
+        chunks.push(bytes);
+        bufferedBytes += bytes.length;
+        if (bufferedBytes <= MAX_BUFFERED_BYTES) continue;
         this.writeHead(answer);
-        for (const part of held) await sink.write(part);
+        for (const chunk of chunks) await sink.write(chunk);
         continue;
       }
       await sink.write(bytes);
     }
-    options.onWhole();
+    options.onComplete();
     if (!sink.headWritten) {
-      this.#writeHeld(answer, held, heldBytes);
+      this.#writeBuffered(answer, chunks, bufferedBytes);
     }
     await sink.end();
   }
 
   override canContinue(): boolean {
-    return !this.start.run.start.sink.headWritten;
+    return !this.context.execution.options.sink.headWritten;
   }
 
-  #writeHeld(
+  #writeBuffered(
     answer: UpstreamAnswer,
-    held: Uint8Array[],
-    heldBytes: number,
+    chunks: Uint8Array[],
+    bufferedBytes: number,
   ): void {
-    const isHead = this.start.request.method === "HEAD";
+    const isHead = this.context.request.method === "HEAD";
     this.writeHead(
       answer,
-      isHead ? {} : { "content-length": String(heldBytes) },
+      isHead ? {} : { "content-length": String(bufferedBytes) },
     );
-    for (const part of held) void this.start.run.start.sink.write(part);
+    for (const chunk of chunks) {
+      void this.context.execution.options.sink.write(chunk);
+    }
   }
 }
--- a/src/request/routed_handler.ts
+++ b/src/request/routed_handler.ts
@@ -1,5 +1,5 @@
 /**
- * Answers routed calls: finds route, workspace and class, and runs the work.
+ * Handles routed calls: finds route, workspace and class, and runs the work.
  *
  * @module
  */
@@ -19,20 +19,20 @@
 import { CallerHandler, type CallerRequest } from "./caller_request.ts";
 import type { CallerSink } from "./caller_sink.ts";
 import { computeFingerprint, readHost } from "./request_fingerprint.ts";
-import { RequestRun } from "./request_run.ts";
+import { RequestExecution } from "./request_execution.ts";
 import type { RequestServices } from "./request_services.ts";
-import { type CheckedWork, runClaimed } from "./request_task.ts";
+import { type CheckedWork, runExecution } from "./request_task.ts";
 import { RoutedCallWork } from "./routed_call_work.ts";
 import type { HeaderCodec, RoutedCall } from "./header_codec.ts";
 import { ResumableStreamWork, SingleStreamWork } from "./routed_stream_work.ts";
-import type { RoutedWork, RoutedWorkStart } from "./routed_work.ts";
+import type { RoutedWork, RoutedWorkContext } from "./routed_work.ts";
 
 const NOT_READY_RETRY_MS = 300;
 const MS_PER_SECOND = 1_000;
 const SERVICE_UNAVAILABLE = 503;
 const UPSTREAM_STATUSES: ReadonlySet<number> = new Set([500, 502, 504]);
 
-/** The workspace of calls on routes that need no key. */
+/** The workspace of calls on routes that need no API key. */
 const PUBLIC_WORKSPACE: Workspace = {
   kind: "workspace",
   name: toId<WorkspaceName>("public"),
@@ -44,14 +44,13 @@
   objectives: {},
 };
 
-/** What the handler needs. */
 export interface RoutedHandlerOptions {
   services: RequestServices;
   getSnapshot: () => RoutedSnapshot | undefined;
   headerCodec: HeaderCodec;
 }
 
-/** A call whose route and caller are known. */
+/** A call with its route and its authenticated caller. */
 interface CheckedCall {
   request: CallerRequest;
   sink: CallerSink;
@@ -62,7 +61,7 @@
   requestId: RequestId;
 }
 
-/** The callers' side of a VM with routes. */
+/** Handles callers' requests on a VM that is configured with routes. */
 export class RoutedHandler extends CallerHandler {
   readonly #options: RoutedHandlerOptions;
 
@@ -96,14 +95,14 @@
     if (snapshot === undefined) throw createNotReady();
     const route = snapshot.routes.findRoute(readHost(request), request.path);
     if (route === undefined) {
-      throw createNotRun("not_found", "No route leads there");
+      throw createNotRun("not_found", "No route matches the host and path");
     }
     const workspace = route.isPublic
       ? PUBLIC_WORKSPACE
       : checkCaller(snapshot, request.headers);
     const call = this.#options.headerCodec.readCall(request.headers);
     if (call.requestId === undefined) {
-      throw createNotRun("bad_request", "A request id is needed");
+      throw createNotRun("bad_request", "Missing request id");
     }
     const requestId = toId<RequestId>(call.requestId);
     return { request, sink, snapshot, route, workspace, call, requestId };
@@ -113,13 +112,16 @@
     const { request, route, snapshot, call } = checked;
     const requestClass = snapshot.classes.get(route.className);
     if (requestClass === undefined) {
-      throw createNotRun("internal", `Class ${route.className} is missing`);
+      throw createNotRun(
+        "internal",
+        `The configuration has no request class ${route.className}`,
+      );
     }
     const timeoutMs = Math.min(
       call.timeoutMs ?? Infinity,
       requestClass.targets.totalMs,
     );
-    const run = RequestRun.create(this.#options.services, {
+    const execution = RequestExecution.create(this.#options.services, {
       requestId: checked.requestId,
       fingerprint: computeFingerprint(request, checked.workspace.name),
       workspace: checked.workspace,
@@ -129,22 +131,25 @@
       deadlineAt: request.arrivedAt + timeoutMs,
       sink: checked.sink,
       idempotent: isRepeatable(route.kind),
-      isClaimStanding: () => true,
+      isClaimValid: () => true,
       retainsAnswer: false,
     });
-    await runClaimed(run, () => this.#buildWork(run, checked));
+    await runExecution(execution, () => this.#buildWork(execution, checked));
   }
 
-  #buildWork(run: RequestRun, checked: CheckedCall): CheckedWork {
+  #buildWork(execution: RequestExecution, checked: CheckedCall): CheckedWork {
     const { request, route, snapshot, call, workspace } = checked;
     const { random } = this.#options.services.environment;
     const target = chooseTarget(route.targets, random.next());
     const pool = target && snapshot.pools.get(target.pool);
     if (pool === undefined) {
-      throw createNotRun("no_upstream", "The route's service is not known");
+      throw createNotRun(
+        "no_upstream",
+        "The configuration has no pool for the route's service",
+      );
     }
     const work = createWork(route, {
-      run,
+      execution,
       request,
       call,
       route,
@@ -152,7 +157,7 @@
       priority: snapshot.ranks.getRank(workspace, route),
       latePriority: snapshot.ranks.getLateRank(route),
       isInteractive: snapshot.interactiveClasses.has(route.className),
-      dialect: this.#options.headerCodec,
+      headerCodec: this.#options.headerCodec,
     });
     const promptTokens = call.prompt?.promptTokens ?? 0;
     const expectedTokens = call.prompt?.maxTokens ?? 0;
@@ -188,16 +193,18 @@
     });
     return {
       code: "internal",
-      message: "The router failed",
+      message: "Internal error in the router",
       outcome: "unknown",
     };
   }
 }
 
 /**
- * How routed refusals are told: the status alone says whether the request ran,
- * since these callers read no bodies. Work that surely did not run gets 503,
- * which they may repeat; the time to come back may be a part of a second.
+ * Chooses status and headers of a routed refusal. Callers of routes read no
+ * bodies, so the status alone has to say whether the request ran: 500, 502 and
+ * 504 become 503, which they may retry, if it certainly did not run; 503 and
+ * 429 become 502 if it may have run. `retry-after` may be a fraction of a
+ * second.
  */
 export function buildRoutedRefusal(
   refusal: Refusal,
@@ -211,16 +218,20 @@
   if (isNotRun && UPSTREAM_STATUSES.has(status)) {
     return { status: SERVICE_UNAVAILABLE, headers };
   }
-  const isPromise = status === SERVICE_UNAVAILABLE || status === 429;
-  return { status: isPromise && !isNotRun ? 502 : status, headers };
+  const isNotRunStatus = status === SERVICE_UNAVAILABLE || status === 429;
+  return { status: isNotRunStatus && !isNotRun ? 502 : status, headers };
 }
 
-function createWork(route: Route, start: RoutedWorkStart): RoutedWork {
+function createWork(route: Route, context: RoutedWorkContext): RoutedWork {
   return match(route.kind)
     .returnType<RoutedWork>()
-    .with("idempotent_call", "single_call", () => RoutedCallWork.create(start))
-    .with("single_stream", () => SingleStreamWork.create(start))
-    .with("resumable_stream", () => ResumableStreamWork.create(start))
+    .with(
+      "idempotent_call",
+      "single_call",
+      () => RoutedCallWork.create(context),
+    )
+    .with("single_stream", () => SingleStreamWork.create(context))
+    .with("resumable_stream", () => ResumableStreamWork.create(context))
     .exhaustive();
 }
 
--- a/src/request/routed_stream_work.ts
+++ b/src/request/routed_stream_work.ts
@@ -1,5 +1,5 @@
 /**
- * A routed call whose answer is a stream of events.
+ * Routed calls whose answer is an event stream.
  *
  * @module
  */
@@ -8,27 +8,27 @@
   CallLimits,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
-import { RoutedWork, type RoutedWorkStart } from "./routed_work.ts";
+import { RoutedWork, type RoutedWorkContext } from "./routed_work.ts";
 import {
   BrokenAnswerError,
-  checkWanted,
+  checkNotCancelled,
   type RelayOptions,
 } from "./upstream_work.ts";
 
 /**
- * A resumable stream that stays silent for so long goes on at another replica,
- * in milliseconds: half of the two seconds after which callers leave.
+ * Silence after which a resumable stream is resumed at another replica: half of
+ * the 2 s after which callers disconnect from a silent stream.
  */
-const SILENCE_MS = 1_000;
+const IDLE_TIMEOUT_MS = 1_000;
 const EVENT_ID = /^id: ?(.*)$/gm;
 
-/** A stream that may run once: passed on as it comes, and cut if it breaks. */
+/** A stream that must not be repeated: forwarded, and aborted if it breaks. */
 export class SingleStreamWork extends RoutedWork {
-  static create(start: RoutedWorkStart): SingleStreamWork {
-    return new SingleStreamWork(start);
+  static create(context: RoutedWorkContext): SingleStreamWork {
+    return new SingleStreamWork(context);
   }
 
-  /** Silence is no reason to end it: nothing else could finish it. */
+  /** Only the deadline ends a silent stream: no other replica can resume it. */
   override computeLimits(leftMs: number): CallLimits {
     return { firstByteMs: leftMs, betweenBytesMs: leftMs, totalMs: leftMs };
   }
@@ -38,45 +38,45 @@
     options: RelayOptions,
   ): Promise<void> {
     this.checkHead(answer, options);
-    const { run } = this.start;
+    const { execution } = this.context;
     for await (const bytes of answer.body) {
-      checkWanted(options);
+      checkNotCancelled(options);
       this.writeHead(answer);
       options.progress.noteTokens(1);
-      run.noteTokens(1);
-      await run.start.sink.write(bytes);
+      execution.noteTokens(1);
+      await execution.options.sink.write(bytes);
     }
-    options.onWhole();
+    options.onComplete();
     this.writeHead(answer);
-    await run.start.sink.end();
+    await execution.options.sink.end();
   }
 
   override canContinue(): boolean {
-    return !this.start.run.start.sink.headWritten;
+    return !this.context.execution.options.sink.headWritten;
   }
 }
 
-/** A stream that another replica can go on with after the last whole event. */
+/** A stream that another replica can resume after its last complete event. */
 export class ResumableStreamWork extends RoutedWork {
   #lastEventId: string | undefined;
 
-  static create(start: RoutedWorkStart): ResumableStreamWork {
-    return new ResumableStreamWork(start);
+  static create(context: RoutedWorkContext): ResumableStreamWork {
+    return new ResumableStreamWork(context);
   }
 
   override computeLimits(leftMs: number): CallLimits {
-    const silenceMs = this.canSendAgain()
-      ? Math.min(leftMs, SILENCE_MS)
+    const idleTimeoutMs = this.canSendAgain()
+      ? Math.min(leftMs, IDLE_TIMEOUT_MS)
       : leftMs;
     return {
-      firstByteMs: silenceMs,
-      betweenBytesMs: silenceMs,
+      firstByteMs: idleTimeoutMs,
+      betweenBytesMs: idleTimeoutMs,
       totalMs: leftMs,
     };
   }
 
   protected override getLastEventId(): string | undefined {
-    return this.#lastEventId ?? this.start.call.lastEventId;
+    return this.#lastEventId ?? this.context.call.lastEventId;
   }
 
   override async handleAnswer(
@@ -84,28 +84,32 @@
     options: RelayOptions,
   ): Promise<void> {
     this.checkHead(answer, options);
-    const { sink } = this.start.run.start;
+    const { sink } = this.context.execution.options;
     if (sink.headWritten && answer.status !== 200) {
-      throw BrokenAnswerError.create(`Resumption got ${answer.status}`);
+      throw BrokenAnswerError.create(
+        `Upstream answered ${answer.status} to the resumption of a stream`,
+      );
     }
     const framer = SseFramer.create();
     for await (const bytes of answer.body) {
-      checkWanted(options);
+      checkNotCancelled(options);
       const frame = framer.push(bytes);
       if (frame.bytes.length > 0) {
         await this.#sendEvents(answer, frame, options);
       }
     }
     if (framer.pendingBytes > 0) {
-      throw BrokenAnswerError.create("Stream ended within an event");
+      throw BrokenAnswerError.create(
+        "Upstream ended the stream within an event",
+      );
     }
-    options.onWhole();
+    options.onComplete();
     this.writeHead(answer);
     await sink.end();
   }
 
   override canContinue(): boolean {
-    return !this.start.run.start.sink.headWritten ||
+    return !this.context.execution.options.sink.headWritten ||
       this.#lastEventId !== undefined;
   }
 
@@ -114,12 +118,12 @@
     frame: { bytes: Uint8Array; events: number },
     options: RelayOptions,
   ): Promise<void> {
-    const { run } = this.start;
+    const { execution } = this.context;
     this.writeHead(answer);
     options.progress.noteTokens(frame.events);
-    run.noteTokens(frame.events);
+    execution.noteTokens(frame.events);
     const ids = Buffer.from(frame.bytes).toString("utf8").matchAll(EVENT_ID);
     for (const [, id] of ids) this.#lastEventId = id?.trimEnd();
-    await run.start.sink.write(frame.bytes);
+    await execution.options.sink.write(frame.bytes);
   }
 }
--- a/src/request/routed_work.ts
+++ b/src/request/routed_work.ts
@@ -1,5 +1,5 @@
 /**
- * A routed call: passed to one replica, and its answer back, byte for byte.
+ * Base of routed calls, which are forwarded byte for byte in both directions.
  *
  * @module
  */
@@ -15,56 +15,56 @@
 import { isRepeatable } from "../version/routes.ts";
 import { buildAnswerHeaders } from "./answer_headers.ts";
 import type { CallerRequest } from "./caller_request.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 import type { HeaderCodec, RoutedCall } from "./header_codec.ts";
 import {
   BrokenAnswerError,
-  type LeaseNeeds,
+  type LeaseRequirements,
   type RelayOptions,
   UpstreamWork,
   type WorkCall,
 } from "./upstream_work.ts";
 
 const SERVER_ERROR = 500;
-/** Statuses that promise a caller that its request has not run. */
+/** Statuses that tell a caller that its request did not run. */
 const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** A try for which less is left is not worth a replica's time. */
-const LEAST_TRY_MS = 50;
+/** No further attempt is made with less time than this left. */
+const MIN_ATTEMPT_MS = 50;
 
-/** What a routed call begins with. */
-export interface RoutedWorkStart {
-  run: RequestRun;
+/** The input of a routed call's work. */
+export interface RoutedWorkContext {
+  execution: RequestExecution;
   request: CallerRequest;
   call: RoutedCall;
   route: Route;
   pool: UpstreamPool;
   priority: number;
-  /** Its priority while it can not be in time any more. */
+  /** Its priority once it can no longer meet its target. */
   latePriority: number;
   isInteractive: boolean;
-  dialect: HeaderCodec;
+  headerCodec: HeaderCodec;
 }
 
-/** What routed calls and streams have in common. */
+/** Forwards a routed call or stream to one replica at a time. */
 export abstract class RoutedWork extends UpstreamWork {
-  protected readonly start: RoutedWorkStart;
+  protected readonly context: RoutedWorkContext;
   #sends = 0;
 
-  constructor(start: RoutedWorkStart) {
+  constructor(context: RoutedWorkContext) {
     super();
-    this.start = start;
+    this.context = context;
   }
 
   override get pool(): UpstreamPool {
-    return this.start.pool;
+    return this.context.pool;
   }
 
   override get maxSends(): number {
-    return this.start.route.maxSends;
+    return this.context.route.maxSends;
   }
 
-  override buildLeaseNeeds(): LeaseNeeds {
-    const { prompt } = this.start.call;
+  override buildLeaseRequirements(): LeaseRequirements {
+    const { prompt } = this.context.call;
     const parts = prompt?.parts ?? [];
     return {
       model: undefined,
@@ -74,20 +74,21 @@
       doneTokens: 0,
       prefixes: parts.map((part) => part.id),
       partTokens: parts.map((part) => part.tokens),
-      isInteractive: this.start.isInteractive,
-      firstOutputMs: this.start.run.start.requestClass.targets.firstTokenMs,
-      clientTimeoutMs: this.start.run.start.requestClass.patienceMs,
-      priority: this.start.priority,
-      latePriority: this.start.latePriority,
+      isInteractive: this.context.isInteractive,
+      firstOutputMs:
+        this.context.execution.options.requestClass.targets.firstTokenMs,
+      clientTimeoutMs: this.context.execution.options.requestClass.patienceMs,
+      priority: this.context.priority,
+      latePriority: this.context.latePriority,
       regions: findCommonRegions(
-        this.start.route.allowedRegions,
-        this.start.run.start.workspace.allowedRegions,
+        this.context.route.allowedRegions,
+        this.context.execution.options.workspace.allowedRegions,
       ),
     };
   }
 
   override buildCall(lease: HeldLease): WorkCall {
-    const { request, run, dialect, route } = this.start;
+    const { request, execution, headerCodec, route } = this.context;
     this.#sends += 1;
     return {
       method: request.method,
@@ -95,9 +96,11 @@
         ? request.path
         : `${request.path}?${request.query}`,
       host: request.headers["host"],
-      headers: dialect.buildHeaders(request.headers, {
+      headers: headerCodec.buildHeaders(request.headers, {
         upstream: lease.upstream,
-        workspace: route.isPublic ? undefined : run.start.workspace.name,
+        workspace: route.isPublic
+          ? undefined
+          : execution.options.workspace.name,
         leftMs: Math.max(1, Math.floor(this.getLeftMs())),
         priority: lease.priority,
         lastEventId: this.getLastEventId(),
@@ -107,71 +110,74 @@
     };
   }
 
-  override async endCut(_refusal: Refusal): Promise<void> {
+  override async endIncomplete(_refusal: Refusal): Promise<void> {
     await Promise.resolve();
-    this.start.run.start.sink.destroy();
+    this.context.execution.options.sink.destroy();
   }
 
-  /** The last event that the caller has, for a stream that goes on. */
+  /** The id of the last event that the caller has received of a stream. */
   protected getLastEventId(): string | undefined {
-    return this.start.call.lastEventId;
+    return this.context.call.lastEventId;
   }
 
   /** Time until the caller's deadline, in milliseconds. */
   protected getLeftMs(): number {
-    const { run } = this.start;
-    return run.deadlineAt - run.services.environment.clock.now();
+    const { execution } = this.context;
+    return execution.deadlineAt - execution.services.environment.clock.now();
   }
 
-  /** Whether one more send could still give the caller its answer. */
+  /** Whether another attempt is allowed and has time to answer. */
   protected canSendAgain(): boolean {
-    return isRepeatable(this.start.route.kind) &&
-      this.#sends < this.maxSends && this.getLeftMs() > LEAST_TRY_MS;
+    return isRepeatable(this.context.route.kind) &&
+      this.#sends < this.maxSends && this.getLeftMs() > MIN_ATTEMPT_MS;
   }
 
   /**
-   * Throws where an answer is not this request's, or is not to be passed on.
+   * Throws `BrokenAnswerError` if the answer must not be forwarded.
    *
-   * A replica may send a second answer late, where the next one is expected:
-   * without the check of the id, a caller would get another caller's answer.
+   * Checks the request id because a replica may send a second answer late, in
+   * place of the next one: a caller would receive another caller's answer.
    */
   protected checkHead(answer: UpstreamAnswer, options: RelayOptions): void {
-    const { run, route, dialect } = this.start;
-    const facts = dialect.readAnswer(answer.status, answer.headers);
-    const isOther = facts.requestId !== undefined &&
-      facts.requestId !== run.id;
-    if (isOther) throw BrokenAnswerError.create("Answer of another request");
-    if (facts.signals !== undefined) options.onSignals(facts.signals);
-    if (facts.isNotExecuted) {
-      throw new BrokenAnswerError(`Upstream refused with ${answer.status}`, {
-        notStarted: true,
-      });
+    const { execution, route, headerCodec } = this.context;
+    const metadata = headerCodec.readAnswer(answer.status, answer.headers);
+    const isMismatch = metadata.requestId !== undefined &&
+      metadata.requestId !== execution.id;
+    if (isMismatch) throw BrokenAnswerError.create("Answer of another request");
+    if (metadata.signals !== undefined) options.onSignals(metadata.signals);
+    if (metadata.isNotExecuted) {
+      throw new BrokenAnswerError(
+        `Upstream answered ${answer.status} without running the request`,
+        {
+          notStarted: true,
+        },
+      );
     }
-    run.noteRan();
+    execution.noteRan();
     const isSuccess = answer.status >= 200 && answer.status < 300;
-    if (isSuccess && !facts.isSigned) {
-      throw BrokenAnswerError.create("Answer is not signed by its upstream");
+    if (isSuccess && !metadata.isSigned) {
+      throw BrokenAnswerError.create("Answer lacks the upstream's signature");
     }
     if (NOT_RUN_STATUSES.has(answer.status) && !isRepeatable(route.kind)) {
-      // Passed on as it is, the status would tell the caller that nothing
-      // ran, and a caller that believed it would do the work twice.
-      throw BrokenAnswerError.create(`Upstream failed with ${answer.status}`);
+      // Forwarded unchanged, the status would say that the request did not run:
+      // a caller that retries would run the work twice.
+      throw BrokenAnswerError.create(`Upstream answered ${answer.status}`);
     }
     if (answer.status >= SERVER_ERROR && this.canSendAgain()) {
-      throw BrokenAnswerError.create(`Upstream failed with ${answer.status}`);
+      throw BrokenAnswerError.create(`Upstream answered ${answer.status}`);
     }
   }
 
-  /** Writes the head of the answer, once. */
+  /** Writes the answer's head unless it has been written. */
   protected writeHead(
     answer: UpstreamAnswer,
     headers: Record<string, string> = {},
   ): void {
-    const { run } = this.start;
-    if (run.start.sink.headWritten) return;
-    run.start.sink.writeHead(
+    const { execution } = this.context;
+    if (execution.options.sink.headWritten) return;
+    execution.options.sink.writeHead(
       answer.status,
-      buildAnswerHeaders(run, { ...answer.headers, ...headers }),
+      buildAnswerHeaders(execution, { ...answer.headers, ...headers }),
     );
   }
 
--- a/src/request/router.ts
+++ b/src/request/router.ts
@@ -1,5 +1,5 @@
 /**
- * Routes each caller's request to what answers it.
+ * Routes callers' requests to their handlers.
  *
  * @module
  */
@@ -28,7 +28,7 @@
 const CREATED = 201;
 const NOT_READY_RETRY_MS = 1_000;
 
-/** The callers' side of one VM. */
+/** Handles callers' completions, service calls, and queries about requests. */
 export class RequestRouter extends CallerHandler {
   readonly #services: RequestServices;
 
@@ -68,7 +68,7 @@
       .with({ kind: "models" }, () => this.#writeModels(exchange))
       .with({ kind: "issue_id" }, () => this.#writeNewId(exchange))
       .with({ kind: "fate" }, ({ requestId }) => {
-        return this.#writeFate(requestId, exchange);
+        return this.#writeStatus(requestId, exchange);
       })
       .with({ kind: "completion" }, () => {
         const snapshot = this.#getSnapshot();
@@ -81,14 +81,14 @@
       .with({ kind: "none" }, () => {
         throw new RefusalError({
           code: "not_found",
-          message: `There is no ${request.method} ${request.path}`,
+          message: `No such endpoint: ${request.method} ${request.path}`,
           outcome: "not_run",
         });
       })
       .exhaustive();
   }
 
-  /** The configuration that a request keeps from here to its end. */
+  /** The configuration in force, which the request uses to its end. */
   #getSnapshot(): Snapshot {
     const snapshot = this.#services.getSnapshot();
     if (snapshot !== undefined) return snapshot;
@@ -125,7 +125,7 @@
     });
   }
 
-  async #writeFate(
+  async #writeStatus(
     requestId: RequestId,
     { request, sink }: { request: CallerRequest; sink: CallerSink },
   ): Promise<void> {
@@ -134,7 +134,7 @@
     await this.#writeJson(sink, OK, page);
   }
 
-  /** Writes an answer that is no request's own, under an id of its own. */
+  /** Writes a JSON answer of the router itself, under a new request id. */
   async #writeJson(
     sink: CallerSink,
     status: number,
@@ -150,7 +150,7 @@
     await sink.end();
   }
 
-  /** The id that a refusal names: the caller's, else one to ask us about. */
+  /** The request id of a refusal: the caller's, else a new one. */
   #findRequestId(request: CallerRequest): RequestId {
     const given = request.headers[REQUEST_ID_HEADER];
     if (given !== undefined) return toId<RequestId>(given);
@@ -178,7 +178,7 @@
     log.error("request_failed", { error: error.stack ?? error.message });
     return {
       code: "internal",
-      message: "The router failed",
+      message: "Internal error in the router",
       outcome: "unknown",
     };
   }
--- a/src/request/routes.ts
+++ b/src/request/routes.ts
@@ -1,26 +1,26 @@
 /**
- * Which call a method and a path mean.
+ * The callers' API: maps methods and paths to endpoints.
  *
  * @module
  */
 import { match, P } from "ts-pattern";
 import { type PoolName, type RequestId, toId } from "../ids.ts";
 
-const FATE_PATTERN = /^\/v1\/requests\/([^/]+)$/;
+const STATUS_PATTERN = /^\/v1\/requests\/([^/]+)$/;
 const SERVICE_PATTERN = /^\/services\/([^/]+)(\/.*)?$/;
 
-/** One of the calls that callers may make. */
+/** An endpoint of the callers' API, with its path parameters. */
 export type Route =
   | { kind: "entries" }
   | { kind: "models" }
   | { kind: "issue_id" }
   | { kind: "fate"; requestId: RequestId }
   | { kind: "completion"; path: string }
-  /** `path` is the part after the pool, as sent. */
+  /** `path` is the path after the pool's name, as sent. */
   | { kind: "service"; pool: PoolName; path: string }
   | { kind: "none" };
 
-/** Finds the call that a request means. */
+/** Finds the endpoint of a request; kind `none` if there is none. */
 export function parseRoute(method: string, path: string): Route {
   return match<[string, string], Route>([method, path])
     .with(["GET", "/v1/entries"], () => ({ kind: "entries" }))
@@ -34,7 +34,7 @@
 }
 
 function parseNamedRoute(method: string, path: string): Route {
-  const id = method === "GET" ? FATE_PATTERN.exec(path)?.[1] : undefined;
+  const id = method === "GET" ? STATUS_PATTERN.exec(path)?.[1] : undefined;
   const requestId = decodePart(id);
   if (requestId !== undefined) {
     return { kind: "fate", requestId: toId<RequestId>(requestId) };
--- a/src/request/service_call.ts
+++ b/src/request/service_call.ts
@@ -1,15 +1,17 @@
 /**
- * What of a plain service's call passes through the router.
+ * Headers and idempotency of calls to plain services.
  *
  * @module
  */
 import { CLASS_HEADER } from "./authenticate.ts";
 
-/** `false` marks work as not idempotent, `true` a POST as idempotent. */
+/**
+ * `false` marks a call as not idempotent, `true` marks a POST as idempotent.
+ */
 const IDEMPOTENT_HEADER = "x-idempotent";
 
-const NOT_PASSED_ON = new Set([
-  // The workspace's key is for the router alone.
+const ROUTER_ONLY_HEADERS = new Set([
+  // The workspace's API key must not reach the service.
   "authorization",
   "content-length",
   "host",
@@ -24,29 +26,31 @@
   "DELETE",
 ]);
 
-/** Whether the caller's header says that the work is not idempotent. */
-export function isMarkedOnce(headers: Record<string, string>): boolean {
+/** Whether the caller's header marks the call as not idempotent. */
+export function isMarkedNonIdempotent(
+  headers: Record<string, string>,
+): boolean {
   return headers[IDEMPOTENT_HEADER] === "false";
 }
 
 /**
- * Whether a service's call may run more than once: only if its class says so,
- * and its method does, or its header in the method's place.
+ * Whether a service's call may run more than once: its class must be
+ * idempotent, and so must be its method unless the header overrides it.
  */
 export function isIdempotentCall(
   call: { method: string; headers: Record<string, string> },
   isClassIdempotent: boolean,
 ): boolean {
   const isMarkedIdempotent = call.headers[IDEMPOTENT_HEADER] === "true";
-  return isClassIdempotent && !isMarkedOnce(call.headers) &&
+  return isClassIdempotent && !isMarkedNonIdempotent(call.headers) &&
     (isMarkedIdempotent || IDEMPOTENT_METHODS.has(call.method));
 }
 
-/** The caller's headers without those that are meant for the router. */
+/** The caller's headers without those that only the router uses. */
 export function copyServiceHeaders(
   headers: Record<string, string>,
 ): Record<string, string> {
   const copied = Object.entries(headers)
-    .filter(([name]) => !NOT_PASSED_ON.has(name));
+    .filter(([name]) => !ROUTER_ONLY_HEADERS.has(name));
   return Object.fromEntries(copied);
 }
--- a/src/request/service_task.ts
+++ b/src/request/service_task.ts
@@ -1,5 +1,5 @@
 /**
- * One call of a plain service.
+ * Runs calls of plain services.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 import { isIdempotentCall } from "./service_call.ts";
 import { ServiceWork } from "./service_work.ts";
 
-/** Where a service's call goes. */
+/** The destination of a service's call. */
 export interface ServiceTarget {
   pool: PoolName;
   /** The path at the service, without the query. */
   path: string;
 }
 
-/** Serves a service's call; throws `RefusalError` before anything began. */
+/** Runs a call; throws `RefusalError` before an execution has started. */
 export async function runService(
   services: RequestServices,
   options: { request: CallerRequest; sink: CallerSink; snapshot: Snapshot },
@@ -35,9 +35,9 @@
     fallback: pool.defaultClass,
   });
   const idempotent = isIdempotentCall(request, requestClass.idempotent);
-  const asked = { ...options, workspace, requestClass, idempotent };
-  await runRequest(services, asked, (run) => ({
-    work: ServiceWork.create({ run, request, pool, path: target.path }),
+  const workRequest = { ...options, workspace, requestClass, idempotent };
+  await runRequest(services, workRequest, (execution) => ({
+    work: ServiceWork.create({ execution, request, pool, path: target.path }),
     promptTokens: 0,
     expectedTokens: 0,
   }));
@@ -48,7 +48,7 @@
   if (pool?.type === "service") return pool;
   throw new RefusalError({
     code: "not_found",
-    message: `There is no service ${name}`,
+    message: `No such service: ${name}`,
     outcome: "not_run",
   });
 }
--- a/src/request/service_work.ts
+++ b/src/request/service_work.ts
@@ -1,5 +1,5 @@
 /**
- * A call of a plain service.
+ * Calls of plain services.
  *
  * @module
  */
@@ -10,13 +10,13 @@
 import { AnswerCollector } from "./answer_collector.ts";
 import { buildAnswerHeaders } from "./answer_headers.ts";
 import type { CallerRequest } from "./caller_request.ts";
-import type { RequestRun } from "./request_run.ts";
+import type { RequestExecution } from "./request_execution.ts";
 import { copyServiceHeaders } from "./service_call.ts";
 import { readUpstreamSignals } from "./upstream_signals.ts";
 import {
   BrokenAnswerError,
-  checkWanted,
-  type LeaseNeeds,
+  checkNotCancelled,
+  type LeaseRequirements,
   type RelayOptions,
   UpstreamWork,
   type WorkCall,
@@ -24,38 +24,38 @@
 
 const NOT_STARTED_HEADER = "x-not-started";
 const SERVICE_UNAVAILABLE = 503;
-/** Answers that another replica of the service may better. */
+/** Statuses on which an idempotent call is retried at another replica. */
 const RETRIED_STATUSES = new Set([502, 503, 504]);
 
-/** What a service's work begins with. */
-export interface ServiceWorkStart {
-  run: RequestRun;
+/** The input of a service call's work. */
+export interface ServiceWorkContext {
+  execution: RequestExecution;
   request: CallerRequest;
   pool: UpstreamPool;
   /** The path at the service, without the query. */
   path: string;
 }
 
-/** Passes one call to a service and its answer back as it comes. */
+/** Forwards one call to a service, and its answer as it arrives. */
 export class ServiceWork extends UpstreamWork {
-  readonly #start: ServiceWorkStart;
+  readonly #context: ServiceWorkContext;
   readonly #collector: AnswerCollector;
 
-  constructor(start: ServiceWorkStart) {
+  constructor(context: ServiceWorkContext) {
     super();
-    this.#start = start;
-    this.#collector = AnswerCollector.create(start.run);
+    this.#context = context;
+    this.#collector = AnswerCollector.create(context.execution);
   }
 
-  static create(start: ServiceWorkStart): ServiceWork {
-    return new ServiceWork(start);
+  static create(context: ServiceWorkContext): ServiceWork {
+    return new ServiceWork(context);
   }
 
   override get pool(): UpstreamPool {
-    return this.#start.pool;
+    return this.#context.pool;
   }
 
-  override buildLeaseNeeds(): LeaseNeeds {
+  override buildLeaseRequirements(): LeaseRequirements {
     return {
       model: undefined,
       adapter: undefined,
@@ -67,13 +67,13 @@
   }
 
   override buildCall(lease: HeldLease): WorkCall {
-    const { request, path, run } = this.#start;
+    const { request, path, execution } = this.#context;
     return {
       method: request.method,
       path: request.query === "" ? path : `${path}?${request.query}`,
       headers: {
         ...copyServiceHeaders(request.headers),
-        "x-request-id": run.id,
+        "x-request-id": execution.id,
         "x-priority": String(lease.priority),
       },
       body: request.body,
@@ -84,33 +84,33 @@
     answer: UpstreamAnswer,
     options: RelayOptions,
   ): Promise<void> {
-    const { run } = this.#start;
-    const { sink, idempotent } = run.start;
+    const { execution } = this.#context;
+    const { sink, idempotent } = execution.options;
     options.onSignals(readUpstreamSignals(answer));
     checkStatus(answer, idempotent);
-    run.noteRan();
-    const headers = buildAnswerHeaders(run, answer.headers);
+    execution.noteRan();
+    const headers = buildAnswerHeaders(execution, answer.headers);
     this.#collector.noteHead(answer.status, headers);
     for await (const bytes of answer.body) {
-      checkWanted(options);
-      // The head waits for the first byte of the body, so that an answer that
-      // breaks before it can still be tried elsewhere.
+      checkNotCancelled(options);
+      // The head is written with the first byte of the body: an answer that
+      // breaks before it can still be retried.
       if (!sink.headWritten) sink.writeHead(answer.status, headers);
       this.#collector.noteBytes(bytes);
       await sink.write(bytes);
     }
-    options.onWhole();
+    options.onComplete();
     this.#collector.putAnswer();
     if (!sink.headWritten) sink.writeHead(answer.status, headers);
     await sink.end();
   }
 
   override canContinue(): boolean {
-    return !this.#start.run.start.sink.headWritten;
+    return !this.#context.execution.options.sink.headWritten;
   }
 
-  override endCut(_refusal: Refusal): Promise<void> {
-    this.#start.run.start.sink.destroy();
+  override endIncomplete(_refusal: Refusal): Promise<void> {
+    this.#context.execution.options.sink.destroy();
     return Promise.resolve();
   }
 }
@@ -119,7 +119,10 @@
   const isNotStarted = answer.status === SERVICE_UNAVAILABLE &&
     answer.headers[NOT_STARTED_HEADER] === "1";
   if (isNotStarted) {
-    throw new BrokenAnswerError("Service did not start", { notStarted: true });
+    throw new BrokenAnswerError(
+      "Service answered 503 without starting the request",
+      { notStarted: true },
+    );
   }
   if (idempotent && RETRIED_STATUSES.has(answer.status)) {
     throw BrokenAnswerError.create(`Service answered ${answer.status}`);
--- a/src/request/sse_events.ts
+++ b/src/request/sse_events.ts
@@ -1,5 +1,5 @@
 /**
- * The events in a run of whole ones, each with its bytes as sent.
+ * Splits complete server-sent events, keeping the bytes of each as sent.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 const LINE_FEED = 0x0a;
 const CARRIAGE_RETURN = 0x0d;
 const DATA_PREFIX = "data: ";
-/** The line feeds that end an event of one line. */
+/** Length of the two line feeds that end a one-line event. */
 const END_LENGTH = 2;
 
-/** One whole event. */
+/** One complete event. */
 export interface SseEvent {
-  /** The bytes as they came, with the blank line that ends them. */
+  /** The bytes as received, including the blank line at the end. */
   raw: Uint8Array;
-  /** Undefined for a block of comments. */
+  /** Undefined for a block that consists of comments. */
   data: string | undefined;
 }
 
-/** Splits what `SseFramer.push` gave, which ends at an event's end. */
+/** Splits a frame of `SseFramer.push`, which holds complete events only. */
 export function listEvents(frame: Uint8Array): SseEvent[] {
   const bytes = Buffer.from(frame.buffer, frame.byteOffset, frame.byteLength);
   const events: SseEvent[] = [];
@@ -33,8 +33,8 @@
 }
 
 /**
- * Reads an event's data. Nearly all events are one line of data and need no
- * parser, which would cost more than the rest of a token's way.
+ * Reads an event's data. Nearly all events are a single `data` line; parsing
+ * them in full would cost more than the rest of the processing of a token.
  */
 function readData(raw: Buffer): string | undefined {
   const text = raw.toString("utf8");
@@ -44,7 +44,7 @@
   return parseEvent(raw)?.data;
 }
 
-/** The index after the blank line that ends the event at `start`. */
+/** The index after the blank line of the event that begins at `start`. */
 function findEnd(bytes: Buffer, start: number): number {
   let at = bytes.indexOf(LINE_FEED, start);
   while (at >= 0) {
--- a/src/request/upstream_signals.ts
+++ b/src/request/upstream_signals.ts
@@ -1,5 +1,5 @@
 /**
- * What upstreams ask in their answers of all that send them work.
+ * Flow-control signals that upstreams send in the headers of their answers.
  *
  * @module
  */
@@ -8,59 +8,58 @@
 const SERVICE_UNAVAILABLE = 503;
 const TOO_MANY_REQUESTS = 429;
 const MS_PER_SECOND = 1_000;
-/** An upstream that asks for more is left alone for so long. */
-const MOST_BACK_OFF_MS = 300_000;
+/** Upper limit on the back-off that an upstream can request. */
+const MAX_BACK_OFF_MS = 300_000;
 
-/** What one answer's head asks. */
+/** The signals in one answer's head. */
 export interface UpstreamSignals {
   /**
-   * Requests a second that the upstream takes from all VMs together, infinite
-   * where it names no limit; undefined where the answer does not tell.
+   * Limit on requests per second from all VMs together; infinite if the
+   * upstream sets no limit, undefined if the answer does not say.
    */
   requestsPerS: number | undefined;
-  /** Whether the upstream is about to end and takes no new work, for good. */
+  /** Whether the upstream is shutting down and accepts no new work. */
   isLeaving: boolean;
   /**
-   * How long the upstream, which turned the request away, wants nothing more
-   * from the VM that sent it, in milliseconds; 0 where it does not ask for it.
+   * Time during which the upstream, which refused the request, wants no more
+   * requests from this VM, in milliseconds; 0 if it requests no back-off.
    */
   backOffMs: number;
-  /** Headers whose values could not be read, or are beyond all bounds. */
+  /** Headers whose values are malformed or out of range. */
   unreadable: readonly UnreadableHeader[];
 }
 
-/** A header whose value is not what it should be. */
+/** A header with an invalid value. */
 export interface UnreadableHeader {
   name: string;
   value: string;
 }
 
-/** The names of the headers that upstreams ask with, in lower case. */
+/** The names of the headers that carry the signals, in lower case. */
 export interface SignalHeaders {
-  /** A decimal number of requests a second. */
+  /** Requests per second, as a decimal number. */
   rateLimit: string;
-  /** `1` in all answers of an upstream that leaves. */
+  /** `1` in all answers of an upstream that is shutting down. */
   leaving: string;
-  /** Seconds, in refusals for want of room. */
+  /** Seconds, in refusals for lack of capacity. */
   retryAfter: string;
 }
 
-/** Those of the product's own interface. */
+/** The headers of engines and plain services. */
 const PRODUCT_HEADERS: SignalHeaders = {
   rateLimit: "x-max-requests-per-second",
   leaving: "x-leaving",
   retryAfter: "retry-after",
 };
 
-/** The head of an answer. */
-interface SignalledAnswer {
+interface AnswerHead {
   status: number;
   headers: Readonly<Record<string, string>>;
   /** Whether the upstream ran the request. */
   hasRun: boolean;
 }
 
-/** Reads what engines and plain services ask on the product's own interface. */
+/** Reads the signals of an engine or a plain service. */
 export function readUpstreamSignals(
   { status, headers }: Pick<UpstreamAnswer, "status" | "headers">,
 ): UpstreamSignals {
@@ -68,9 +67,9 @@
   return readSignals({ status, headers, hasRun }, PRODUCT_HEADERS);
 }
 
-/** Reads what an answer asks in the headers that `names` has. */
+/** Reads the signals of an answer from the headers in `names`. */
 export function readSignals(
-  answer: SignalledAnswer,
+  answer: AnswerHead,
   names: SignalHeaders,
 ): UpstreamSignals {
   const unreadable: UnreadableHeader[] = [];
@@ -89,19 +88,19 @@
   const isLeaving = read(names.leaving, parseFlag) ?? false;
   const isRefusal = answer.status === SERVICE_UNAVAILABLE ||
     answer.status === TOO_MANY_REQUESTS;
-  const askedMs = isRefusal ? read(names.retryAfter, parseBackOff) ?? 0 : 0;
-  if (askedMs > MOST_BACK_OFF_MS) {
+  const requestedMs = isRefusal ? read(names.retryAfter, parseBackOff) ?? 0 : 0;
+  if (requestedMs > MAX_BACK_OFF_MS) {
     const name = names.retryAfter;
     unreadable.push({ name, value: answer.headers[name]! });
   }
-  // Upstreams turn requests away before they look at anything else: only an
-  // answer to a request that ran tells by its silence that there is no limit.
+  // Upstreams refuse requests before they add other headers: a missing limit
+  // means "no limit" only in an answer to a request that ran.
   const isUnlimited = answer.hasRun &&
     answer.headers[names.rateLimit] === undefined;
   return {
     requestsPerS: isUnlimited ? Infinity : rateLimit,
     isLeaving,
-    backOffMs: Math.min(askedMs, MOST_BACK_OFF_MS),
+    backOffMs: Math.min(requestedMs, MAX_BACK_OFF_MS),
     unreadable,
   };
 }
--- a/src/request/upstream_work.ts
+++ b/src/request/upstream_work.ts
@@ -1,5 +1,5 @@
 /**
- * One kind of work that upstreams do for a request.
+ * The work that upstreams do for a request: base class of its kinds.
  *
  * @module
  */
@@ -10,23 +10,23 @@
 import type { Refusal } from "../outcome.ts";
 import type { HeldLease, LeaseRequest } from "../process/services.ts";
 import type { UpstreamPool } from "../version/records.ts";
-import type { TryProgress } from "./attempt_progress.ts";
+import type { AttemptProgress } from "./attempt_progress.ts";
 import type { UpstreamSignals } from "./upstream_signals.ts";
 
-/** What goes to the upstream. */
+/** A request to an upstream. */
 export interface WorkCall {
   method: string;
   /** Path and query. */
   path: string;
-  /** The host that the caller named, where the upstream is to see it. */
+  /** The caller's `host` header, if the upstream is to receive it. */
   host?: string | undefined;
   headers: Record<string, string>;
   body: Uint8Array;
 }
 
-/** An answer of an upstream that is no answer for the caller. */
+/** An upstream's answer that must not be forwarded to the caller. */
 export class BrokenAnswerError extends Error {
-  /** Whether the upstream's documented word is that it did nothing. */
+  /** Whether the answer states, as documented, that nothing was started. */
   readonly notStarted: boolean;
 
   constructor(message: string, options: { notStarted: boolean }) {
@@ -40,24 +40,24 @@
   }
 }
 
-/** What a try needs to pass an answer on. */
+/** The context of an attempt, for forwarding its answer. */
 export interface RelayOptions {
-  /** Aborts when the try is over: the caller left or the slot was taken. */
+  /** Aborts if the caller disconnects or the slot is preempted. */
   signal: AbortSignal;
-  progress: TryProgress;
-  /** To be called with what the answer's head asks, if it is the upstream's. */
+  progress: AttemptProgress;
+  /** Call with the signals in the answer's head, if the upstream sent it. */
   onSignals: (signals: UpstreamSignals) => void;
-  /** To be called once the upstream has done its part: frees its slot. */
-  onWhole: () => void;
+  /** Call once the upstream has completed its answer: releases the slot. */
+  onComplete: () => void;
 }
 
-/** Throws when the try is over. */
-export function checkWanted({ signal }: RelayOptions): void {
-  if (signal.aborted) throw BrokenAnswerError.create("The call was given up");
+/** Throws `BrokenAnswerError` if the attempt has been cancelled. */
+export function checkNotCancelled({ signal }: RelayOptions): void {
+  if (signal.aborted) throw BrokenAnswerError.create("Attempt was cancelled");
 }
 
-/** What a lease is asked for with that depends on the kind of work. */
-export type LeaseNeeds = Pick<
+/** The fields of a lease request that depend on the kind of work. */
+export type LeaseRequirements = Pick<
   LeaseRequest,
   | "model"
   | "adapter"
@@ -74,40 +74,40 @@
   | "regions"
 >;
 
-/** Sends of one request that may reach upstreams, unless the work says less. */
+/** Default limit on sends of one request that may reach an upstream. */
 const MAX_SENDS = 4;
 
-/** Work that may take several tries, all for one answer. */
+/** Work that may take several attempts to produce one answer. */
 export abstract class UpstreamWork {
   abstract readonly pool: UpstreamPool;
 
-  /** Sends that may reach an upstream, the first one included. */
+  /** Limit on sends that may reach an upstream, including the first. */
   get maxSends(): number {
     return MAX_SENDS;
   }
 
-  /** The time limits of a try for which `leftMs` are left. */
+  /** The timeouts of an attempt with `leftMs` left until the deadline. */
   computeLimits(_leftMs: number): CallLimits {
     return this.pool.timeouts;
   }
 
-  /** What a lease for the next try is asked for with. */
-  abstract buildLeaseNeeds(): LeaseNeeds;
-  /** What the next try sends. */
+  /** Builds the requirements for the lease of the next attempt. */
+  abstract buildLeaseRequirements(): LeaseRequirements;
+  /** Builds the request of the next attempt. */
   abstract buildCall(lease: HeldLease): WorkCall;
   /**
-   * Passes one upstream's answer to the caller. Resolves when the caller has
-   * the whole answer; throws `UpstreamError` or `BrokenAnswerError`.
+   * Forwards an upstream's answer to the caller. Resolves when the caller has
+   * the complete answer; throws `UpstreamError` or `BrokenAnswerError`.
    */
   abstract handleAnswer(
     answer: UpstreamAnswer,
     options: RelayOptions,
   ): Promise<void>;
-  /** Whether another try can still give the caller one whole answer. */
+  /** Whether another attempt can still complete the caller's answer. */
   abstract canContinue(): boolean;
   /**
-   * Ends an answer that has begun and cannot be finished, so that the caller
-   * cannot take it for a whole one.
+   * Ends a partially written answer that cannot be completed, so that the
+   * caller cannot mistake it for a complete one.
    */
-  abstract endCut(refusal: Refusal): Promise<void>;
+  abstract endIncomplete(refusal: Refusal): Promise<void>;
 }
