--- a/test/process/execution_claims_test.ts
+++ b/test/process/execution_claims_test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("a request id", () => {
-  it("names its VM whatever the VM's name holds", () => {
+  it("names its VM for any characters in the VM's name", () => {
     for (const vm of ["vm-a-1", "10.0.0.1", "a~b", "r~x~~"]) {
       const parts = {
         vm: toId<VmId>(vm),
@@ -41,7 +41,7 @@
     }
   });
 
-  it("is refused in any other shape", () => {
+  it("is rejected in any other format", () => {
     const texts = ["", "r~", "r~a~b~c~d", "x~a~b~1~1~c", "r~a~b~!~1~c"];
     for (const text of [...texts, `r~${"a".repeat(400)}~b~1~1~c`]) {
       expect(parseRequestId(text)).toBeUndefined();
@@ -49,93 +49,92 @@
   });
 });
 
-describe("the issuer's answer to a claim", () => {
-  it("is the same for a repeat, and taken for another", () => {
+describe("a claim at the issuer", () => {
+  it("is granted again for the same nonce, and taken for another", () => {
     const { claims } = createIssuer();
     const requestId = claims.issueId();
     const call = { from: FROM, requestId, nonce: "n1" };
-    const first = claims.answerClaim(call);
+    const first = claims.handleClaim(call);
     expect(first).toEqual({ kind: "granted", ttlMs: CLAIM_TTL_MS });
-    expect(claims.answerClaim(call)).toEqual(first);
-    expect(claims.answerClaim({ ...call, nonce: "n2" })).toEqual({
+    expect(claims.handleClaim(call)).toEqual(first);
+    expect(claims.handleClaim({ ...call, nonce: "n2" })).toEqual({
       kind: "taken",
       runner: "vm-b",
       outcome: "running",
     });
   });
 
-  it("is granted again only after not_run", () => {
+  it("is granted to another nonce only after not_run", () => {
     for (const outcome of ["not_run", "ran", "unknown", "answered"] as const) {
       const { claims } = createIssuer();
       const requestId = claims.issueId();
-      claims.answerClaim({ from: FROM, requestId, nonce: "n1" });
-      claims.answerSettle({ from: FROM, requestId, nonce: "n1", outcome });
-      const next = claims.answerClaim({ from: FROM, requestId, nonce: "n2" });
+      claims.handleClaim({ from: FROM, requestId, nonce: "n1" });
+      claims.handleSettlement({ from: FROM, requestId, nonce: "n1", outcome });
+      const next = claims.handleClaim({ from: FROM, requestId, nonce: "n2" });
       if (outcome === "not_run") expect(next.kind).toBe("granted");
       else expect(next).toMatchObject({ kind: "taken", outcome });
     }
   });
 
-  // Symptom: a run granted while the first one goes on.
-  // Sequence: a settlement of an ended claim arrives late or twice.
-  // Cause: a settlement taken for the claim that stands now.
-  it("heeds the settlement of the standing claim alone", () => {
+  // Guards against a second execution while the first one is running: a
+  // settlement of an earlier claim arrives late or twice and is applied to the
+  // current claim.
+  it("is released only by its own settlement", () => {
     const { claims } = createIssuer();
     const requestId = claims.issueId();
     const call = { from: FROM, requestId, nonce: "n1" };
     const end = { ...call, outcome: "not_run" as const };
-    claims.answerClaim(call);
-    claims.answerSettle(end);
-    claims.answerClaim({ ...call, nonce: "n2" });
-    claims.answerSettle(end);
-    expect(claims.answerClaim({ ...call, nonce: "n3" }).kind).toBe("taken");
-    claims.answerSettle({ ...end, nonce: "n2", outcome: "answered" });
-    claims.answerSettle({ ...end, nonce: "n2" });
-    expect(claims.answerClaim({ ...call, nonce: "n4" }))
+    claims.handleClaim(call);
+    claims.handleSettlement(end);
+    claims.handleClaim({ ...call, nonce: "n2" });
+    claims.handleSettlement(end);
+    expect(claims.handleClaim({ ...call, nonce: "n3" }).kind).toBe("taken");
+    claims.handleSettlement({ ...end, nonce: "n2", outcome: "answered" });
+    claims.handleSettlement({ ...end, nonce: "n2" });
+    expect(claims.handleClaim({ ...call, nonce: "n4" }))
       .toMatchObject({ kind: "taken", outcome: "answered" });
   });
 
-  // Symptom: an id that stays taken though nothing runs.
-  // Sequence: the settlement of a claim given up overtakes the claim.
-  // Cause: the late claim granted to a VM that no longer waits for it.
-  it("refuses a claim that its own settlement overtook", () => {
+  // Guards against an id that stays claimed although nothing is executed: the
+  // settlement of an abandoned claim arrives before the claim, which is then
+  // granted to a VM that no longer waits for it.
+  it("is refused if its own settlement arrived before it", () => {
     const { claims } = createIssuer();
     const requestId = claims.issueId();
     const call = { from: FROM, requestId, nonce: "n1" };
-    claims.answerSettle({ ...call, outcome: "not_run" });
-    expect(claims.answerClaim(call))
+    claims.handleSettlement({ ...call, outcome: "not_run" });
+    expect(claims.handleClaim(call))
       .toMatchObject({ kind: "taken", outcome: "not_run" });
-    expect(claims.answerClaim({ ...call, nonce: "n2" }).kind).toBe("granted");
+    expect(claims.handleClaim({ ...call, nonce: "n2" }).kind).toBe("granted");
   });
 
-  it("is unknown for expired, forged and other VMs' ids", async () => {
+  it("returns unknown_id for expired, forged and other VMs' ids", async () => {
     const { clock, claims } = createIssuer();
     const other = createIssuer();
     const requestId = claims.issueId();
-    const ask = (id: string) =>
-      claims.answerClaim({
+    const sendClaim = (id: string) =>
+      claims.handleClaim({
         from: FROM,
         requestId: toId<RequestId>(id),
         nonce: "n",
       }).kind;
-    expect(ask(`${requestId.slice(0, -1)}_`)).toBe("unknown_id");
-    expect(ask(requestId.replace("vm-a", "vm-z"))).toBe("unknown_id");
-    expect(ask("nonsense")).toBe("unknown_id");
+    expect(sendClaim(`${requestId.slice(0, -1)}_`)).toBe("unknown_id");
+    expect(sendClaim(requestId.replace("vm-a", "vm-z"))).toBe("unknown_id");
+    expect(sendClaim("nonsense")).toBe("unknown_id");
     await clock.run(ID_TTL_MS);
-    expect(ask(requestId)).toBe("unknown_id");
-    expect(other.claims.answerClaim({ from: FROM, requestId, nonce: "n" }).kind)
+    expect(sendClaim(requestId)).toBe("unknown_id");
+    expect(other.claims.handleClaim({ from: FROM, requestId, nonce: "n" }).kind)
       .toBe("granted");
   });
 
-  // Symptom: a doubled run under a flood of requests.
-  // Sequence: so many ids are claimed that the oldest must be forgotten, then
-  // a forgotten one is submitted again.
-  // Cause: "not remembered" taken for "never claimed".
-  it("never grants an id that it had to forget", () => {
+  // Guards against a duplicate execution under a flood of requests: so many ids
+  // are claimed that the oldest are evicted, and an evicted id is submitted
+  // again. "Not stored" must not count as "never claimed".
+  it("is never granted for an evicted id", () => {
     const { claims } = createIssuer(4);
     const ids = Array.from({ length: 12 }, () => claims.issueId());
     const claim = (requestId: RequestId, nonce: string) =>
-      claims.answerClaim({ from: FROM, requestId, nonce }).kind;
+      claims.handleClaim({ from: FROM, requestId, nonce }).kind;
     const granted = ids.filter((id) => claim(id, "n1") === "granted");
     expect(granted).toEqual(ids);
     expect(ids.filter((id) => claim(id, "n2") === "granted")).toEqual([]);
@@ -161,32 +160,32 @@
     return { clock, claimer, settled, requestId: issuer.issueId() };
   }
 
-  // Symptom: work sent under a claim that has lapsed.
-  // Sequence: the answer lies in a buffer while the claimer is paused.
-  // Cause: the time to live counted from when the answer was read.
-  it("counts the time to live from before it asked", async () => {
+  // Guards against work sent under an expired claim: the answer waits in a
+  // buffer while the claimer is paused, and the TTL starts when the answer is
+  // read.
+  it("starts the TTL before it sends the claim", async () => {
     const { clock, claimer, requestId } = createPair(async () => {
       await clock.sleep(1_000);
       return { kind: "granted", ttlMs: 1_500 };
     });
-    const asked = claimer.claimExecution(requestId);
+    const pending = claimer.claimExecution(requestId);
     await clock.run(1_000);
-    const claim = await asked;
+    const claim = await pending;
     if (claim.kind !== "granted") throw new Error("Not granted");
-    expect(claim.isStanding()).toBe(true);
+    expect(claim.isValid()).toBe(true);
     await clock.run(500);
-    expect(claim.isStanding()).toBe(false);
+    expect(claim.isValid()).toBe(false);
   });
 
-  it("asks again with the same nonce, then gives the id back", async () => {
+  it("retries with the same nonce, then releases the claim", async () => {
     const nonces: string[] = [];
     const { clock, claimer, requestId, settled } = createPair((call) => {
       nonces.push(call.nonce);
       return Promise.reject(new Error("Lost"));
     });
-    const asked = claimer.claimExecution(requestId);
+    const pending = claimer.claimExecution(requestId);
     await clock.run(1_000);
-    expect(await asked).toMatchObject({
+    expect(await pending).toMatchObject({
       kind: "unreachable",
       issuer: "vm-a",
       why: "Lost",
@@ -197,7 +196,7 @@
     expect(claimer.unsettledCount).toBe(0);
   });
 
-  it("settles until the issuer has heard it", async () => {
+  it("settles a claim once", async () => {
     const { clock, claimer, requestId, settled } = createPair(() =>
       Promise.resolve({ kind: "granted", ttlMs: 1_000 })
     );
--- a/test/process/request_stores_test.ts
+++ b/test/process/request_stores_test.ts
@@ -14,55 +14,55 @@
   return buildRunningRecord(toId<RequestId>(id));
 }
 
-describe("the fate store", () => {
-  it("keeps running records before finished ones", () => {
-    const fates = RequestStatusStore.create({ maxRecords: 3 });
+describe("the request status store", () => {
+  it("evicts finished records before running ones", () => {
+    const statuses = RequestStatusStore.create({ maxRecords: 3 });
     const ids = ["a", "b", "c", "d", "e"].map((id) => toId<RequestId>(id));
-    ids.slice(0, 3).forEach((id) => fates.start(buildRecord(id)));
-    fates.end(ids[1]!, END);
-    fates.start(buildRecord("d"));
-    expect(fates.find(ids[1]!)).toBeUndefined();
-    expect(fates.find(ids[0]!)?.outcome).toBe("running");
-    fates.start(buildRecord("e"));
-    expect(fates.size).toBe(3);
-    expect(fates.find(ids[0]!)).toBeUndefined();
+    ids.slice(0, 3).forEach((id) => statuses.start(buildRecord(id)));
+    statuses.end(ids[1]!, END);
+    statuses.start(buildRecord("d"));
+    expect(statuses.find(ids[1]!)).toBeUndefined();
+    expect(statuses.find(ids[0]!)?.outcome).toBe("running");
+    statuses.start(buildRecord("e"));
+    expect(statuses.size).toBe(3);
+    expect(statuses.find(ids[0]!)).toBeUndefined();
   });
 
-  it("bounds steps and bytes, and says how many steps it left out", () => {
-    const fates = RequestStatusStore.create({ maxBytes: 100_000 });
+  it("limits steps and bytes, and counts the dropped steps", () => {
+    const statuses = RequestStatusStore.create({ maxBytes: 100_000 });
     const id = toId<RequestId>("a");
-    fates.start(buildRecord("a"));
+    statuses.start(buildRecord("a"));
     for (let ageMs = 0; ageMs < 100; ageMs++) {
-      fates.note(id, { step: "retried", ageMs, detail: "x".repeat(10) });
+      statuses.note(id, { step: "retried", ageMs, detail: "x".repeat(10) });
     }
-    const record = fates.find(id)!;
+    const record = statuses.find(id)!;
     expect(record.steps.length + record.droppedSteps).toBe(100);
     expect(record.droppedSteps).toBeGreaterThan(0);
     for (let index = 0; index < 500; index++) {
-      fates.start(buildRecord(`r${index}`));
-      fates.end(toId<RequestId>(`r${index}`), END);
+      statuses.start(buildRecord(`r${index}`));
+      statuses.end(toId<RequestId>(`r${index}`), END);
     }
-    expect(fates.bytes).toBeLessThanOrEqual(100_000);
-    expect(fates.size).toBeLessThan(200);
-    expect(fates.find(id)?.outcome).toBe("running");
+    expect(statuses.bytes).toBeLessThanOrEqual(100_000);
+    expect(statuses.size).toBeLessThan(200);
+    expect(statuses.find(id)?.outcome).toBe("running");
   });
 
-  it("keeps the steps of a run before the one that follows it", () => {
-    const fates = RequestStatusStore.create();
+  it("keeps the steps of an earlier execution before those of the next", () => {
+    const statuses = RequestStatusStore.create();
     const id = toId<RequestId>("a");
     for (const detail of ["first", "second"]) {
-      fates.start(buildRecord("a"));
-      fates.note(id, { step: "arrived", ageMs: 0, detail });
-      fates.end(id, END);
+      statuses.start(buildRecord("a"));
+      statuses.note(id, { step: "arrived", ageMs: 0, detail });
+      statuses.end(id, END);
     }
-    expect(fates.find(id)!.steps.map((step) => step.detail))
+    expect(statuses.find(id)!.steps.map((step) => step.detail))
       .toEqual(["first", "second"]);
-    expect(fates.size).toBe(1);
+    expect(statuses.size).toBe(1);
   });
 });
 
 describe("the answer store", () => {
-  it("drops the oldest answers and keeps the first of an id", () => {
+  it("evicts the oldest answers and keeps the first answer of an id", () => {
     const answers = AnswerStore.create({ maxBytes: 2_000 });
     const build = (body: string) => ({
       status: 200,
@@ -79,27 +79,26 @@
 });
 
 describe("the retry budget", () => {
-  // Symptom: an outage's retries outlast it.
-  // Sequence: every try fails for a long time.
-  // Cause: retries that grow with failures instead of with first tries.
-  it("holds retries under the share in any window", async () => {
+  // Guards against retries that outlast an outage: every attempt fails for a long
+  // time, and retries grow with failures instead of with first attempts.
+  it("keeps retries under the share in any window", async () => {
     const clock = VirtualClock.create();
     const budget = WindowRetryBudget.create({ clock, getShare: () => 0.1 });
     let retries = 0;
     for (let second = 0; second < 60; second++) {
-      for (let tries = 0; tries < 20; tries++) {
+      for (let attempts = 0; attempts < 20; attempts++) {
         budget.noteFirstAttempt(POOL);
         while (budget.takeRetry(POOL)) retries++;
       }
       await clock.run(1_000);
     }
-    const firstTries = 60 * 20;
-    expect(retries).toBeGreaterThan(0.09 * firstTries);
-    // The reserve of 2 for each window of ten seconds comes on top.
-    expect(retries).toBeLessThanOrEqual(0.1 * firstTries + 2 * 7);
+    const firstAttempts = 60 * 20;
+    expect(retries).toBeGreaterThan(0.09 * firstAttempts);
+    // Plus the reserve of 2 retries for each window of 10 s.
+    expect(retries).toBeLessThanOrEqual(0.1 * firstAttempts + 2 * 7);
   });
 
-  it("forgets what is older than its window", async () => {
+  it("ignores attempts older than its window", async () => {
     const clock = VirtualClock.create();
     const budget = WindowRetryBudget.create({ clock, getShare: () => 0 });
     const takeAll = () => {
--- a/test/process/unreadable_header_log_test.ts
+++ b/test/process/unreadable_header_log_test.ts
@@ -5,11 +5,11 @@
 
 const REPLICA = toId<VmId>("r-1");
 
-it("writes a line for each value and not for each answer", () => {
+it("logs each new value once, not once per answer", () => {
   const log = new FakeLog();
-  const unreadable = UnreadableHeaderLog.create(log);
+  const headerLog = UnreadableHeaderLog.create(log);
   for (const value of ["many", "many", "-1", "x".repeat(500)]) {
-    unreadable.note(REPLICA, [{ name: "server-limit", value }]);
+    headerLog.note(REPLICA, [{ name: "server-limit", value }]);
   }
   expect(log.lines.map(({ level, event }) => `${level} ${event}`))
     .toEqual(Array(3).fill("warn upstream_header_unreadable"));
--- a/test/request/at_most_once_test.ts
+++ b/test/request/at_most_once_test.ts
@@ -59,7 +59,7 @@
   { weight: 1, arbitrary: fc.constant({ kind: "disconnect" as const }) },
 );
 
-/** A booking service that counts what it did, and the VMs before it. */
+/** Three VMs in front of a booking service that records its runs. */
 class Fleet {
   readonly clock = VirtualClock.create();
   readonly runs: { id: string; submission: string }[] = [];
@@ -109,7 +109,7 @@
       retryShare: 10,
     });
     vm.upstreams.answer = (call) => this.#answer(call);
-    // A grant that arrives late stands for a pause of the process.
+    // A late grant simulates a pause of the process.
     vm.leases.delaysMs = Array.from({ length: 50 }, () => this.#pickPause());
     this.#vms[index] = vm;
   }
@@ -157,11 +157,12 @@
 }
 
 describe("work that is not idempotent", () => {
-  // Symptom: two slots held for one vehicle; or "not run" of a hold that is.
-  // Sequence: resubmissions through any VM while calls between VMs are lost,
-  // repeated and late, VMs are replaced, paused, callers leave, sends fail.
-  // Cause: a run granted twice, or an outcome told from the last try alone.
-  it("runs at most once, and never where not_run was said", async () => {
+  // Guards against duplicate bookings, and against not_run for a booking that
+  // was made. Requests are resubmitted through any VM while calls between VMs
+  // are lost, repeated and delayed, VMs are replaced and paused, callers
+  // disconnect and sends fail. A failure means that an execution was granted
+  // twice, or that an outcome covered the last attempt only.
+  it("runs at most once, and never if the outcome was not_run", async () => {
     const counts = { runs: 0, notRun: 0, replays: 0, unknown: 0 };
     await fc.assert(
       fc.asyncProperty(
@@ -176,7 +177,7 @@
           counts.runs += ids.length;
           for (const [submission, sink] of fleet.sinks) {
             const ran = fleet.runs.some((run) => run.submission === submission);
-            // A caller that left before its answer was told nothing.
+            // A caller that disconnected before its answer received nothing.
             if (sink.text === "") continue;
             if (sink.status === 200) {
               if (!ran) counts.replays++;
@@ -192,7 +193,7 @@
       ),
       { seed: SEED, numRuns: RUNS },
     );
-    // The plans reach every kind of end.
+    // The generated plans must reach every kind of result.
     for (const [kind, count] of Object.entries(counts)) {
       expect(count, kind).toBeGreaterThan(50);
     }
--- a/test/request/completion_test.ts
+++ b/test/request/completion_test.ts
@@ -51,12 +51,12 @@
 }
 
 function listSteps(vm: RequestVm, requestId: string): string[] {
-  const fate = vm.fates.find(toId<RequestId>(requestId));
-  return fate!.steps.map((step) => step.step);
+  const status = vm.fates.find(toId<RequestId>(requestId));
+  return status!.steps.map((step) => step.step);
 }
 
 describe("a streamed completion", () => {
-  it("passes the engine's bytes on and tells every step", async () => {
+  it("forwards the engine's bytes and records every step", async () => {
     const vm = createVm();
     const sink = await runStream(vm);
     const id = sink.headers["x-request-id"]!;
@@ -85,10 +85,10 @@
     expect(actual).toBe(7 + vm.leases.leases[0]!.request.promptTokens);
   });
 
-  // Symptom: a burn report folded from log files blames no step and no replica.
-  // Sequence: a VM is replaced, and only its log lines are left.
-  // Cause: the line of a finished request lacks what the figures hold.
-  it("logs what a report needs when the VM is gone", async () => {
+  // Guards against a burn report without step and replica: a VM is replaced,
+  // only its log is left, and the line of a finished request lacks these
+  // fields.
+  it("logs all fields that the burn report needs", async () => {
     const vm = createVm();
     const sink = await runStream(vm);
     const ran = parseRequestId(toId(sink.headers["x-request-id"]!))!;
@@ -102,7 +102,7 @@
     });
   });
 
-  it("tells the lease how it goes", async () => {
+  it("reports its progress to the lease", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = (call, engine) => {
@@ -130,7 +130,7 @@
     expect(JSON.stringify(vm.log.lines)).not.toContain("key-1");
   });
 
-  it("caps the tokens by the class", async () => {
+  it("limits max_tokens to the limit of the class", async () => {
     const vm = createVm();
     await runStream(vm, { ...STREAM_BODY, max_tokens: 100_000 });
     const body = JSON.parse(
@@ -140,10 +140,9 @@
     expect(vm.leases.leases[0]!.request.maxTokens).toBe(200);
   });
 
-  // Symptom: the caller's text misses or repeats words in the middle.
-  // Sequence: an engine crashes mid-stream, another one goes on.
-  // Cause: resumption from a token that the caller does not have.
-  it("resumes a broken stream, byte-exact, avoiding the engine", async () => {
+  // Guards against missing or repeated words: an engine crashes in mid-stream,
+  // and another engine resumes at a token other than the caller's next one.
+  it("resumes a broken stream byte for byte at another engine", async () => {
     const vm = createVm([{ breakAt: 700 }]);
     const sink = await runStream(vm);
     const id = sink.headers["x-request-id"]!;
@@ -157,14 +156,14 @@
       .toEqual(["failed", "done"]);
   });
 
-  // Symptom: the caller sees two finishes, or a usage of half the answer.
-  // Sequence: the engine breaks after its finishing event, before [DONE].
-  // Cause: a finish passed on before the end was known to come.
-  it("gives one finish and the whole usage after a late break", async () => {
+  // Guards against two finish_reasons, or the usage of half the answer: the
+  // engine breaks between finish_reason and [DONE], after the router has
+  // forwarded finish_reason.
+  it("sends one finish_reason and the full usage after a late break", async () => {
     const body = { ...STREAM_BODY, stream_options: { include_usage: true } };
-    const whole = getExpected("r~x", body);
+    const expected = getExpected("r~x", body);
     const vm = createVm();
-    const finishAt = whole.indexOf('"stop"');
+    const finishAt = expected.indexOf('"stop"');
     vm.upstreams.answer = (call, engine) => {
       const shift = call.headers["x-request-id"]!.length * 8 + 40;
       const fault = engine === 0 ? { breakAt: finishAt + shift } : {};
@@ -177,10 +176,9 @@
     expect(vm.upstreams.calls).toHaveLength(2);
   });
 
-  // Symptom: a stranger's text in the answer.
-  // Sequence: an engine mixes two answers up, or answers a request late.
-  // Cause: events passed on without a look at whose they are.
-  it("takes an answer of another request for a broken one", async () => {
+  // Guards against another caller's text in the answer: an engine mixes up two
+  // answers, or answers an earlier request late.
+  it("treats events of another request as a broken stream", async () => {
     const vm = createVm([{ wrongIdFrom: 0 }, { wrongIdFrom: 3 }]);
     const sink = await runStream(vm);
     const id = sink.headers["x-request-id"]!;
@@ -188,10 +186,10 @@
     expect(sink.text).not.toContain("r~other");
   });
 
-  // Symptom: half an answer that looks like a whole one.
-  // Sequence: every engine breaks until no more tries are made.
-  // Cause: an end without a word of what is missing.
-  it("ends a stream that cannot go on with an error, no [DONE]", async () => {
+  // Guards against a partial answer that looks complete: every engine breaks
+  // until the limit on attempts is reached, and the stream ends without an
+  // error.
+  it("ends a stream that cannot be resumed with an error and no [DONE]", async () => {
     const fault = { breakAt: 700 };
     const vm = createVm([fault, { failsAtHead: true }, fault, {
       failsAtHead: true,
@@ -206,7 +204,7 @@
     expect(vm.metrics.finished[0]!.wastedTokens).toBeGreaterThan(0);
   });
 
-  it("ends a stream itself where only [DONE] is missing", async () => {
+  it("completes a stream that lacks only [DONE]", async () => {
     const vm = createVm();
     vm.upstreams.answer = (call, engine) => {
       const events = buildEngineEvents(call, { engine });
@@ -221,10 +219,9 @@
     expect(vm.upstreams.calls).toHaveLength(1);
   });
 
-  // Symptom: tokens go on being generated for a caller that left.
-  // Sequence: the caller disconnects mid-stream.
-  // Cause: nobody tells the engine.
-  it("cancels the work at the engine when the caller leaves", async () => {
+  // Guards against engines that keep generating tokens for a caller that has
+  // disconnected in mid-stream.
+  it("cancels the work at the engine when the caller disconnects", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = (call, engine) =>
@@ -243,18 +240,18 @@
     expect(sink.text).not.toContain("[DONE]");
   });
 
-  // Symptom: memory grows with a reader that takes nothing.
-  // Sequence: the engine is quick, the caller slow.
-  // Cause: reading on while a write is not taken.
-  it("reads no more while the caller takes nothing", async () => {
+  // Guards against memory growth with a fast engine and a slow caller: the
+  // router must not read from the engine while a write to the caller is
+  // pending.
+  it("stops reading from the engine while the caller does not read", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
-    let given = 0;
+    let bytesRead = 0;
     vm.upstreams.answer = (call, engine) => {
       const answer = answerStream(call, { engine });
       const count = async function* () {
         for await (const bytes of answer.body) {
-          given += bytes.length;
+          bytesRead += bytes.length;
           yield bytes;
         }
       };
@@ -263,22 +260,22 @@
     const { sink, done } = vm.send(
       buildRequest("POST", "/v1/chat/completions", { body: STREAM_BODY }),
     );
-    let letOn = () => {};
-    sink.onWrite = () => new Promise((resolve) => letOn = resolve);
+    let resumeWrite = () => {};
+    sink.onWrite = () => new Promise((resolve) => resumeWrite = resolve);
     await clock.run(100);
-    const before = given;
+    const before = bytesRead;
     await clock.run(1_000);
-    expect(given).toBe(before);
+    expect(bytesRead).toBe(before);
     sink.onWrite = () => Promise.resolve();
-    letOn();
+    resumeWrite();
     await done;
     expect(sink.isWhole).toBe(true);
   });
 
-  // Symptom: a preempted answer starts anew, or its slot stays taken.
-  // Sequence: the owner takes the slot back for a higher tier mid-stream.
-  // Cause: preemption handled as a failure.
-  it("resumes after a preemption without spending the budget", async () => {
+  // Guards against preemption that is handled as a failure: the owner preempts
+  // the slot in mid-stream, and the answer starts over or the slot is not
+  // released.
+  it("resumes after a preemption without spending the retry budget", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock, { retryShare: 0 });
     vm.upstreams.answer = (call, engine) =>
@@ -300,10 +297,9 @@
       .toEqual(Array(4).fill("cancelled"));
   });
 
-  // Symptom: work is sent on a slot that another request has.
-  // Sequence: the process is paused between the grant and the send.
-  // Cause: a lease believed in after its time.
-  it("asks for a new slot when the lease lapsed in a pause", async () => {
+  // Guards against sending on a slot that belongs to another request: the
+  // process is paused between grant and send until the lease has expired.
+  it("acquires a new lease if the first expired during a pause", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.leases.delaysMs = [3_000];
@@ -319,10 +315,9 @@
       .toEqual(["unused", "done"]);
   });
 
-  // Symptom: in an outage, retries double the load on what is left.
-  // Sequence: every first try fails.
-  // Cause: retries without a shared bound.
-  it("stops retrying when the budget is spent", async () => {
+  // Guards against retries that double the load in an outage: every first
+  // attempt fails, and retries have no shared limit.
+  it("stops retrying when the retry budget is spent", async () => {
     const vm = new RequestVm(VirtualClock.create(), { retryShare: 0 });
     vm.upstreams.answer = (call) =>
       Promise.reject(createError(call, { kind: "first_byte_timeout" }));
@@ -337,10 +332,9 @@
     });
   });
 
-  // Symptom: "not run" is said of work that may have run.
-  // Sequence: a send breaks, then no slot is to be had for the retry.
-  // Cause: the outcome of the last try alone.
-  it("counts every send in the outcome", async () => {
+  // Guards against not_run for work that may have run: a send breaks, no slot
+  // is free for the retry, and the outcome covers only the retry.
+  it("returns an outcome that covers every send", async () => {
     const vm = new RequestVm(VirtualClock.create(), { upstreams: ["u1"] });
     vm.upstreams.answer = (call) => Promise.reject(createError(call, {}));
     const sink = await runStream(vm);
@@ -350,7 +344,7 @@
     });
   });
 
-  it("says not_run where no byte was sent or nothing was started", async () => {
+  it("returns not_run if no byte was sent or the engine did not start", async () => {
     const vm = createVm();
     vm.upstreams.answer = (call, index) =>
       index === 0
@@ -364,7 +358,7 @@
     expect(vm.limits.settled[0]!.actual).toBe(0);
   });
 
-  it("gives a 503 without the documented code no such trust", async () => {
+  it("returns unknown after a 503 without the documented code", async () => {
     const vm = createVm();
     vm.upstreams.answer = () =>
       Promise.resolve(answerJson(503, { error: { code: "busy" } }));
@@ -372,7 +366,7 @@
     expect(sink.json.error).toMatchObject({ outcome: "unknown" });
   });
 
-  it("keeps the configuration that it was admitted under", async () => {
+  it("keeps the configuration under which it was admitted", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.leases.delaysMs = [100];
@@ -390,7 +384,7 @@
     expect(vm.fates.find(id)!.configVersion).toBe(3);
   });
 
-  it("passes the engine's own 400 on", async () => {
+  it("forwards a 400 of the engine", async () => {
     const vm = createVm();
     vm.upstreams.answer = () =>
       Promise.resolve(answerJson(400, { error: { message: "bad top_p" } }));
@@ -400,7 +394,7 @@
     expect(vm.upstreams.calls).toHaveLength(1);
   });
 
-  it("answers at once when the limit refuses, and sends nothing", async () => {
+  it("refuses at once and sends nothing if the rate limit is exceeded", async () => {
     const vm = createVm();
     vm.limits.refusal = new RefusalError({
       code: "rate_limited",
@@ -415,12 +409,12 @@
   });
 });
 
-describe("a whole completion", () => {
+describe("a buffered completion", () => {
   const body = { model: "m1", prompt: "Hola" };
 
-  it("retries a broken answer and passes the whole one on", async () => {
+  it("retries a broken answer and forwards the complete one", async () => {
     const vm = createVm();
-    const whole = (call: { headers: Record<string, string> }) => ({
+    const buildBody = (call: { headers: Record<string, string> }) => ({
       id: call.headers["x-request-id"],
       choices: [{ text: "Buenos días" }],
       usage: { completion_tokens: 3 },
@@ -428,10 +422,10 @@
     vm.upstreams.answer = (call, index) => {
       if (index === 0) {
         return Promise.resolve(
-          answerJson(200, { ...whole(call), id: "other" }),
+          answerJson(200, { ...buildBody(call), id: "other" }),
         );
       }
-      return Promise.resolve(answerJson(200, whole(call)));
+      return Promise.resolve(answerJson(200, buildBody(call)));
     };
     const { sink, done } = vm.send(
       buildRequest("POST", "/v1/completions", { body }),
@@ -447,7 +441,7 @@
     });
   });
 
-  it("is given up at once when late answers have no use", async () => {
+  it("is refused at the deadline if late answers are of no use", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = async (call) => {
@@ -483,7 +477,7 @@
     });
   });
 
-  it("is not found where no pool holds it", async () => {
+  it("is not found if no pool serves it", async () => {
     const sink = await runStream(createVm(), {
       ...STREAM_BODY,
       model: "m1:no",
--- a/test/request/engine_http_test.ts
+++ b/test/request/engine_http_test.ts
@@ -11,7 +11,7 @@
 const PROMPT = "[[tokens=40]] Escriba la carta";
 const LOOPBACK = "127.0.0.1";
 
-/** A VM before two engines over HTTP; the first is always chosen first. */
+/** Starts a VM and two engines over HTTP; the first engine is chosen first. */
 async function startVm(): Promise<{ vm: RequestVm; engines: EngineServer[] }> {
   const engines = [EngineServer.create(), EngineServer.create()];
   const ports = new Map<string, number>();
@@ -49,7 +49,7 @@
     .join("");
 }
 
-describe("requests against the engine's stand-in over HTTP", () => {
+describe("requests to stand-in engines over HTTP", () => {
   const body = { model: "m1", prompt: PROMPT, stream: true };
   const answer = EngineAnswer.create({
     model: "m1",
@@ -57,10 +57,10 @@
     maxTokens: 200,
   });
 
-  // Symptom: a hole, a repeat or a garbled letter where an engine crashed.
-  // Sequence: the engine's process dies after twelve tokens; another resumes.
-  // Cause: bytes of a cut event, or a resumption from the wrong token.
-  it("streams one whole answer over an engine's crash", async () => {
+  // Guards against missing, repeated or garbled text: an engine crashes after
+  // 12 tokens and another resumes. Either bytes of a partial event are
+  // forwarded, or the stream resumes at the wrong token.
+  it("streams one complete answer across the crash of an engine", async () => {
     const { vm, engines } = await startVm();
     engines[0]!.core.setCrashAfter(12);
     const options = { stream_options: { include_usage: true } };
@@ -79,7 +79,7 @@
     });
   });
 
-  it("answers whole ones, also after a refusal to start", async () => {
+  it("answers buffered completions, also after an engine did not start", async () => {
     const { vm, engines } = await startVm();
     engines[0]!.core.setRefuseNext(1);
     const sink = await run(vm, { ...body, stream: false });
@@ -88,7 +88,7 @@
     expect(engines[0]!.core.counts.accepted).toBe(0);
   });
 
-  it("cancels the run at the engine when the caller leaves", async () => {
+  it("cancels the run at the engine when the caller disconnects", async () => {
     const { vm, engines } = await startVm();
     const { sink, done } = vm.send(
       buildRequest("POST", "/v1/completions", {
--- a/test/request/prompt_prefixes_test.ts
+++ b/test/request/prompt_prefixes_test.ts
@@ -8,7 +8,7 @@
 describe("prefix hashes", () => {
   const block = "x".repeat(PREFIX_BLOCK_CHARACTERS);
 
-  it("are shared as far as two prompts are alike", () => {
+  it("are equal for the common prefix of two prompts", () => {
     const one = computePrefixes(`${block}${block}a`, "m");
     const two = computePrefixes(`${block}${"y".repeat(2_000)}`, "m");
     expect(one).toHaveLength(2);
@@ -16,7 +16,7 @@
     expect(two[1]).not.toBe(one[1]);
   });
 
-  it("are bounded in number, and none for a short prompt", () => {
+  it("are limited in number, and none for a short prompt", () => {
     expect(computePrefixes(block.repeat(100), "m")).toHaveLength(MAX_PREFIXES);
     expect(computePrefixes("short", "m")).toEqual([]);
   });
--- a/test/request/request_fingerprint_test.ts
+++ b/test/request/request_fingerprint_test.ts
@@ -13,7 +13,7 @@
 const FINGERPRINT = computeFingerprint(REQUEST, WORKSPACE);
 
 describe("a request's fingerprint", () => {
-  it("stays the same under another id, port and spelling of the host", () => {
+  it("does not depend on request id, port and case of the host", () => {
     const headers = { host: "Caller.Example:8740", "x-request-id": "two" };
     expect(computeFingerprint({ ...REQUEST, headers }, WORKSPACE))
       .toBe(FINGERPRINT);
--- a/test/request/router_test.ts
+++ b/test/request/router_test.ts
@@ -42,7 +42,7 @@
 }
 
 describe("the router", () => {
-  it("refuses what it does not know, with a typed body", async () => {
+  it("refuses unknown endpoints with a typed body", async () => {
     const [vm] = createVms();
     const calls: [string, string, number, string][] = [
       ["GET", "/v1/nothing", 404, "not_found"],
@@ -60,7 +60,7 @@
     expect(vm.metrics.finished).toEqual([]);
   });
 
-  it("checks the key and the class", async () => {
+  it("checks the API key and the request class", async () => {
     const [vm] = createVms();
     const cases: [Record<string, string>, number][] = [
       [{ authorization: "" }, 401],
@@ -77,7 +77,7 @@
     expect(vm.upstreams.calls).toEqual([]);
   });
 
-  it("refuses hostile bodies before anything is asked for", async () => {
+  it("refuses invalid bodies before it requests a lease", async () => {
     const [vm] = createVms();
     const bodies: unknown[] = [
       {},
@@ -95,7 +95,7 @@
     expect(vm.leases.leases).toEqual([]);
   });
 
-  it("is not ready without a configuration", async () => {
+  it("returns not_ready without a configuration", async () => {
     const [vm] = createVms();
     vm.snapshot = undefined;
     const sink = await run(vm, buildRequest("GET", "/v1/models"));
@@ -114,7 +114,7 @@
     });
   });
 
-  it("ends kept connections while it drains, and goes on serving", async () => {
+  it("closes keep-alive connections while it drains, and continues to serve", async () => {
     const [vm] = createVms();
     vm.isDraining = true;
     const request = buildRequest("POST", "/v1/completions", { body: BODY });
@@ -125,7 +125,7 @@
 });
 
 describe("a resubmission", () => {
-  it("replays the first answer byte for byte at any VM", async () => {
+  it("receives the first answer byte for byte from any VM", async () => {
     const [a, b, c] = createVms();
     const id = await issueId(a);
     const first = await run(b, buildCompletion(id));
@@ -136,7 +136,7 @@
     expect(c.upstreams.calls).toEqual([]);
   });
 
-  it("shows nobody another workspace's answer", async () => {
+  it("does not receive another workspace's answer", async () => {
     const [a, b] = createVms();
     const id = await issueId(a);
     const first = await run(b, buildCompletion(id));
@@ -146,7 +146,7 @@
     expect(other.text).not.toContain(first.text.slice(0, 20));
   });
 
-  it("is told while the first run goes on", async () => {
+  it("returns already_submitted while the first execution is running", async () => {
     const [a, b] = createVms();
     const clock = a.clock as VirtualClock;
     a.upstreams.answer = (call, engine) =>
@@ -166,10 +166,10 @@
     expect(first.sink.isWhole).toBe(true);
   });
 
-  // Symptom: a doubled run after the VM that issued the id was replaced.
-  // Sequence: id taken, run elsewhere, issuer replaced, resubmission.
-  // Cause: a memory that is gone taken for one that says "never run".
-  it("runs nothing when the issuer is gone", async () => {
+  // Guards against a duplicate execution: an id is issued and executed at
+  // another VM, the issuer is replaced and loses its claims, and the id is
+  // resubmitted. Lost claims must not count as "never executed".
+  it("executes nothing if the issuer was replaced", async () => {
     const [a, b, c] = createVms();
     const id = await issueId(a);
     await run(b, buildCompletion(id));
@@ -194,10 +194,9 @@
     }
   });
 
-  // Symptom: ordinary callers with trace ids of their own run twice or never.
-  // Sequence: x-request-id holds an id that no VM issued.
-  // Cause: an id that names no VM to ask.
-  it("refuses ids that callers made up", async () => {
+  // Guards against callers that put their own trace ids into x-request-id: such
+  // an id names no VM that records the claim, so the request could run twice.
+  it("is refused for ids that no VM issued", async () => {
     const [a] = createVms();
     for (const id of ["3f0c-uuid", "r~vm-a~i1~1", "r~vm-a~i1~1~1~ffff"]) {
       const sink = await run(a, buildCompletion(id));
@@ -206,10 +205,10 @@
     expect(a.upstreams.calls).toEqual([]);
   });
 
-  // Symptom: a doubled run of work that its caller sent without an id.
-  // Sequence: the answer's id is sent back as if it could be submitted.
-  // Cause: nothing is remembered of such an id, so it looks unused.
-  it("runs nothing under an id that went with one submission", async () => {
+  // Guards against a duplicate execution: a caller submits the id of an answer
+  // to a request that it sent without one. No claim is recorded for such a
+  // single-use id, so it would look unused.
+  it("executes nothing for a single-use id", async () => {
     const [a] = createVms();
     const request = buildRequest("POST", "/v1/completions", { body: BODY });
     const first = await run(a, request);
@@ -224,7 +223,7 @@
     expect(a.upstreams.calls).toHaveLength(1);
   });
 
-  it("tells the outcome where the answer was too large to keep", async () => {
+  it("returns the outcome if the answer was too large to retain", async () => {
     const [a] = createVms();
     a.upstreams.answer = (call) =>
       Promise.resolve(answerJson(200, {
@@ -245,40 +244,40 @@
 });
 
 describe("GET /v1/requests/ID", () => {
-  function ask(id: string, key = "key-1") {
+  function buildStatusRequest(id: string, key = "key-1") {
     const headers = { authorization: `Bearer ${key}` };
     const path = `/v1/requests/${encodeURIComponent(id)}`;
     return buildRequest("GET", path, { headers });
   }
 
-  it("tells the steps at any VM, through the issuer", async () => {
+  it("returns the steps from any VM, through the issuer", async () => {
     const [a, b, c] = createVms();
     const id = await issueId(a);
     await run(b, buildCompletion(id));
     for (const vm of [a, b, c]) {
-      const sink = await run(vm, ask(id));
+      const sink = await run(vm, buildStatusRequest(id));
       expect(sink.status).toBe(200);
       expect(sink.json).toMatchObject({ outcome: "answered", vm: "vm-b" });
       expect(sink.json.steps.at(-1).step).toBe("answered");
     }
   });
 
-  it("is for the workspace's own requests alone", async () => {
+  it("returns only requests of the caller's workspace", async () => {
     const [a] = createVms();
     const id = await issueId(a);
     await run(a, buildCompletion(id));
-    expect((await run(a, ask(id, "key-2"))).status).toBe(404);
-    expect((await run(a, ask(id, "nobody"))).status).toBe(401);
+    expect((await run(a, buildStatusRequest(id, "key-2"))).status).toBe(404);
+    expect((await run(a, buildStatusRequest(id, "nobody"))).status).toBe(401);
   });
 
-  it("says unknown and why", async () => {
+  it("returns unknown and the reason", async () => {
     const [a, b] = createVms();
     const id = await issueId(a);
-    const unused = await run(b, ask(id));
+    const unused = await run(b, buildStatusRequest(id));
     expect(unused.json).toMatchObject({ outcome: "unknown" });
-    expect(unused.json.why).toContain("No VM that could know");
+    expect(unused.json.why).toContain("No VM has a record of the request");
     a.peers.peers.delete("vm-a");
-    const gone = await run(b, ask(id));
+    const gone = await run(b, buildStatusRequest(id));
     expect(gone.json.why).toContain("vm-a");
   });
 });
--- a/test/request/service_test.ts
+++ b/test/request/service_test.ts
@@ -10,7 +10,7 @@
 }
 
 describe("a call of a plain service", () => {
-  it("passes on method, path, query, headers and body", async () => {
+  it("forwards method, path, query, headers and body", async () => {
     const vm = createVm();
     vm.upstreams.answer = () => Promise.resolve(answerJson(201, { slot: 4 }));
     const { sink, done } = vm.send(buildRequest(
@@ -29,7 +29,7 @@
     expect(Buffer.from(call.body).toString()).toBe('{"plate":"X"}');
   });
 
-  it("is not idempotent as a POST, by its class or by its header", async () => {
+  it("is not idempotent if its method, class or header says so", async () => {
     const vm = createVm();
     vm.upstreams.answer = () => Promise.resolve(answerJson(200, {}));
     const chat = { "x-request-class": "chat" };
@@ -51,10 +51,9 @@
       .toEqual(calls.map(([, , idempotent]) => !idempotent));
   });
 
-  // Symptom: two slots held for one vehicle.
-  // Sequence: the service takes the call, the connection breaks, we retry.
-  // Cause: a retry of work that may have run.
-  it("is sent once where it may have run", async () => {
+  // Guards against duplicate bookings: the service accepts the call, the
+  // connection breaks, and the router retries work that may have run.
+  it("is not retried if it may have run", async () => {
     const vm = createVm();
     vm.upstreams.answer = (call) => Promise.reject(createError(call, {}));
     const { sink, done } = vm.send(
@@ -67,7 +66,7 @@
     expect(sink.headers["x-should-retry"]).toBe("false");
   });
 
-  it("is tried elsewhere where no byte went out", async () => {
+  it("is retried at another replica if no byte was sent", async () => {
     const vm = createVm();
     vm.upstreams.answer = (call, index) =>
       index === 0
@@ -83,7 +82,7 @@
     expect(vm.upstreams.calls).toHaveLength(2);
   });
 
-  it("says not_run on the documented word, and lets it be resubmitted", async () => {
+  it("returns not_run on x-not-started, and can then be resubmitted", async () => {
     const vm = createVm();
     vm.upstreams.answer = () =>
       Promise.resolve({
@@ -102,10 +101,9 @@
     expect(second.sink.json).toEqual({ slot: 1 });
   });
 
-  // Symptom: half a page that looks whole.
-  // Sequence: the service breaks mid-answer.
-  // Cause: an ordinary end after what there was.
-  it("cuts an answer that broke midway", async () => {
+  // Guards against a partial page that looks complete: the service breaks in
+  // the middle of an answer, and the router ends the answer normally.
+  it("aborts an answer that breaks midway", async () => {
     const vm = createVm();
     vm.upstreams.answer = (call) => {
       const body = async function* () {
@@ -124,10 +122,9 @@
     expect(vm.upstreams.calls).toHaveLength(1);
   });
 
-  // Symptom: a hold that nobody can tell of.
-  // Sequence: the caller's connection drops while the service works.
-  // Cause: the call cut off in the middle with its answer.
-  it("finishes a claimed hold without its caller, for a replay", async () => {
+  // Guards against a booking with an unknown outcome: the caller's connection
+  // breaks while the service works, and the router cancels the call.
+  it("completes a claimed call after its caller disconnects, for a replay", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = async (call) => {
@@ -148,7 +145,7 @@
     expect(vm.upstreams.calls).toHaveLength(1);
   });
 
-  it("is cancelled with its caller where nobody can ask again", async () => {
+  it("is cancelled with its caller if it cannot be resubmitted", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = async (call) => {
@@ -166,10 +163,9 @@
     expect(vm.metrics.finished[0]).toMatchObject({ result: "cancelled" });
   });
 
-  // Symptom: a hold made by a VM that had lost its right to.
-  // Sequence: the VM is paused past its claim and wakes before the send.
-  // Cause: the claim believed in after its time.
-  it("sends nothing once the claim lapsed in a pause", async () => {
+  // Guards against a booking by a VM whose claim has expired: the VM is paused
+  // until after the expiry and resumes right before the send.
+  it("sends nothing if the claim expired during a pause", async () => {
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.leases.delaysMs = [6 * 60_000];
--- a/test/request/stream_property_test.ts
+++ b/test/request/stream_property_test.ts
@@ -52,7 +52,7 @@
   };
 }
 
-/** The whole answer, as each engine alone would have given it. */
+/** The complete answer that each engine would send on its own. */
 function listExpected(requestId: string, body: unknown): string[] {
   const call = {
     headers: { "x-request-id": requestId },
@@ -62,13 +62,13 @@
     .map((engine) => buildEngineEvents(call, { engine }).join(""));
 }
 
-describe("a stream under any sequence of breakages", () => {
-  // Symptom: an answer with a hole, a repeat, a stranger's words, two ends; or
-  // half an answer that looks whole.
-  // Sequence: engines break, stall, end early, mix answers up, at any byte.
-  // Cause: a cut event passed on, or a resumption from the wrong token.
-  it("is the whole answer to the byte, or is seen to be cut", async () => {
-    const counts = { whole: 0, cut: 0, refused: 0, resumed: 0 };
+describe("a stream under any sequence of faults", () => {
+  // Guards against answers with missing, repeated or foreign text or two ends,
+  // and against partial answers that look complete. Engines break, stall, end
+  // early or mix up answers at any byte; either part of an event is forwarded,
+  // or the stream resumes at the wrong token.
+  it("is complete byte for byte, or visibly aborted", async () => {
+    const counts = { complete: 0, aborted: 0, refused: 0, resumed: 0 };
     await fc.assert(
       fc.asyncProperty(plan, async (plan) => {
         const vm = new RequestVm(VirtualClock.create(), {
@@ -85,9 +85,9 @@
         const path = plan.isChat ? "/v1/chat/completions" : "/v1/completions";
         const { sink, done } = vm.send(buildRequest("POST", path, { body }));
         await done;
-        const isWhole = sink.status !== 200 || sink.text.includes("[DONE]");
-        expect(sink.isEnded).toBe(isWhole);
-        expect(sink.isDestroyed).toBe(!isWhole);
+        const isComplete = sink.status !== 200 || sink.text.includes("[DONE]");
+        expect(sink.isEnded).toBe(isComplete);
+        expect(sink.isDestroyed).toBe(!isComplete);
         if (sink.status !== 200) {
           counts.refused++;
           expect(sink.json.error.outcome).toMatch(/^(not_run|unknown|ran)$/);
@@ -95,12 +95,12 @@
         }
         const expected = listExpected(sink.headers["x-request-id"]!, body);
         if (sink.text.includes("[DONE]")) {
-          counts.whole++;
+          counts.complete++;
           if (vm.upstreams.calls.length > 1) counts.resumed++;
           expect(expected).toContain(sink.text);
           return;
         }
-        counts.cut++;
+        counts.aborted++;
         const at = sink.text.lastIndexOf("event: error\n");
         expect(at).toBeGreaterThan(0);
         const begun = sink.text.slice(0, at);
@@ -109,7 +109,7 @@
       }),
       { seed: SEED, numRuns: RUNS },
     );
-    // The plans reach every kind of end.
+    // The generated plans must reach every kind of result.
     expect(Object.values(counts).every((count) => count >= 10)).toBe(true);
   });
 });
--- a/test/support/request_vm.ts
+++ b/test/support/request_vm.ts
@@ -95,7 +95,7 @@
     const { fates, answers, claims } = this;
     this.finder = RequestStatusFinder.create({
       environment,
-      fates,
+      requestStatuses: fates,
       answers,
       claims,
     });
@@ -134,9 +134,9 @@
   createPeer(): PeerApi {
     const peer: Pick<PeerApi, "claimRun" | "settleRun" | "findFate"> = {
       claimRun: (call: ClaimCall): Promise<ClaimAnswer> =>
-        Promise.resolve(this.claims.answerClaim(call)),
+        Promise.resolve(this.claims.handleClaim(call)),
       settleRun: (call: SettleCall): Promise<void> =>
-        Promise.resolve(this.claims.answerSettle(call)),
+        Promise.resolve(this.claims.handleSettlement(call)),
       findFate: (call: RequestStatusCall): Promise<RequestStatusAnswer> =>
         this.finder.handleStatusCall(call),
     };
