--- a/src/process/limits/chunk_store.ts
+++ b/src/process/limits/chunk_store.ts
@@ -1,11 +1,11 @@
 /**
- * The chunks of one workspace's limit that this VM may use.
+ * Chunks of one workspace's limit that this VM may use.
  *
  * @module
  */
 import type { LimitAmount } from "./limit_bucket.ts";
 
-/** A chunk with its end by this VM's clock. */
+/** A chunk, with its end on this VM's clock. */
 interface Chunk extends LimitAmount {
   expiresAt: number;
 }
@@ -23,7 +23,7 @@
     this.#chunks.sort((left, right) => left.expiresAt - right.expiresAt);
   }
 
-  /** What is left at `now`; drops expired chunks. */
+  /** Amount left at `now`; drops expired chunks. */
   countLeft(now: number): LimitAmount {
     this.#chunks = this.#chunks.filter((chunk) => chunk.expiresAt > now);
     let requests = 0;
@@ -35,7 +35,7 @@
     return { requests, tokens };
   }
 
-  /** Takes all of `amount`, or nothing and returns false. */
+  /** Takes all of `amount`, or takes nothing and returns false. */
   take(amount: LimitAmount, now: number): boolean {
     const left = this.countLeft(now);
     if (left.requests < amount.requests) return false;
--- a/src/process/limits/demand_meter.ts
+++ b/src/process/limits/demand_meter.ts
@@ -1,21 +1,21 @@
 /**
- * How much of a workspace's limit this VM used lately.
+ * How much of a workspace's limit this VM used recently.
  *
  * @module
  */
 import type { LimitAmount } from "./limit_bucket.ts";
 
-/** The time over which older use fades. */
-const FADE_MS = 2_000;
+/** Time constant with which older use decays. */
+const DECAY_MS = 2_000;
 
-/** An exponentially fading average of use, for each millisecond. */
+/** Exponentially decaying average of use per millisecond. */
 export class DemandMeter {
   #requests = 0;
   #tokens = 0;
-  #at: number;
+  #updatedAt: number;
 
   constructor(now: number) {
-    this.#at = now;
+    this.#updatedAt = now;
   }
 
   static create(now: number): DemandMeter {
@@ -24,19 +24,19 @@
 
   note(amount: LimitAmount, now: number): void {
     this.#update(now);
-    this.#requests += amount.requests / FADE_MS;
-    this.#tokens += amount.tokens / FADE_MS;
+    this.#requests += amount.requests / DECAY_MS;
+    this.#tokens += amount.tokens / DECAY_MS;
   }
 
-  /** Use expected in the next `ms`. */
+  /** Use expected in the next `ms` milliseconds. */
   compute(ms: number, now: number): LimitAmount {
     this.#update(now);
     return { requests: this.#requests * ms, tokens: this.#tokens * ms };
   }
 
   #update(now: number): void {
-    const factor = Math.exp(-(now - this.#at) / FADE_MS);
-    this.#at = now;
+    const factor = Math.exp(-(now - this.#updatedAt) / DECAY_MS);
+    this.#updatedAt = now;
     this.#requests *= factor;
     this.#tokens *= factor;
   }
--- a/src/process/limits/index.ts
+++ b/src/process/limits/index.ts
@@ -5,7 +5,7 @@
  */
 export { BURST_MS } from "./limit_bucket.ts";
 export { CHUNK_TTL_MS } from "./limit_owner.ts";
-export { RequestRateLimiter as RequestRate } from "./request_rate_limiter.ts";
+export { RequestRateLimiter } from "./request_rate_limiter.ts";
 export {
   WorkspaceLimits,
   type WorkspaceLimitsOptions,
--- a/src/process/limits/limit_bucket.ts
+++ b/src/process/limits/limit_bucket.ts
@@ -1,5 +1,6 @@
 /**
- * A bucket of requests and tokens that fills at a workspace's rate.
+ * Token bucket for requests and tokens, filled at the rate of a workspace's
+ * limits.
  *
  * @module
  */
@@ -8,15 +9,15 @@
 const MINUTE_MS = 60_000;
 
 /**
- * How long an unused limit piles up. A workspace may use this much of its
- * limit at once, so that any minute holds at most 1.25 times the limit.
+ * Time for which an unused limit accumulates. A workspace may use this much of
+ * its limit at once, so that any minute holds at most 1.25 times the limit.
  */
 export const BURST_MS = 15_000;
 
 /** Rounding in sums of fractions must not turn a level of 0 into a debt. */
 const ROUNDING = 1e-6;
 
-/** How fast a limit fills, for each millisecond. */
+/** How fast a limit refills, per millisecond. */
 export interface LimitRate {
   requests: number;
   tokens: number;
@@ -28,7 +29,7 @@
   tokens: number;
 }
 
-/** The rate of a workspace's limits, times `share`. */
+/** Rate of a workspace's limits, times `share`. */
 export function computeLimitRate(
   workspace: Workspace,
   share = 1,
@@ -40,10 +41,10 @@
 }
 
 /**
- * A token bucket of two kinds. It grants whenever neither level is below 0 and
- * may go below 0 by one grant, so that a request larger than the burst is
- * served too and a new, empty bucket serves at once; the debt is filled up
- * before the next grant.
+ * A token bucket for two kinds of amounts. It grants whenever neither level is
+ * below 0, and may drop below 0 by one grant, so that a request larger than the
+ * burst is served too and a new, empty bucket serves at once. The debt is
+ * refilled before the next grant.
  */
 export class LimitBucket {
   #requests: number;
@@ -56,7 +57,7 @@
     this.#filledAt = at;
   }
 
-  /** A bucket that was empty at `at`. */
+  /** Creates a bucket that was empty at `at`. */
   static create(at: number): LimitBucket {
     return new LimitBucket(at);
   }
@@ -69,7 +70,9 @@
     this.#tokens = computeLevel(this.#tokens, rate.tokens, ms);
   }
 
-  /** Time until `amount` can be granted; infinite where nothing fills. */
+  /**
+   * Milliseconds until `amount` can be granted; infinite where the rate is 0.
+   */
   computeWaitMs(amount: LimitAmount, rate: LimitRate): number {
     return Math.max(
       amount.requests > 0 ? computeWait(this.#requests, rate.requests) : 0,
--- a/src/process/limits/limit_client.ts
+++ b/src/process/limits/limit_client.ts
@@ -1,5 +1,5 @@
 /**
- * One workspace's limit as an entry VM holds it.
+ * Client of one workspace's limit, on an entry VM.
  *
  * @module
  */
@@ -9,66 +9,66 @@
 import { ChunkStore } from "./chunk_store.ts";
 import { DemandMeter } from "./demand_meter.ts";
 import { computeLimitRate, type LimitAmount } from "./limit_bucket.ts";
-import { buildLimitRefusal, checkPossible } from "./limit_refusals.ts";
+import { buildLimitRefusal, checkFitsLimit } from "./limit_refusals.ts";
 import { LocalLimit } from "./local_limit.ts";
 
-/** The longest that a request waits for the owner's answer. */
-const OWNER_WAIT_MS = 50;
+/** Longest time that a request waits for the owner's answer. */
+const OWNER_TIMEOUT_MS = 50;
 
 /**
- * The whole fleet may admit so much of a minute's limit before the owner has
- * agreed. It spares a request of a workspace with little traffic the wait.
+ * Share of a minute's limit that the whole fleet may admit before the owner has
+ * agreed. It saves requests of workspaces with little traffic the wait.
  */
-const MAX_AHEAD_SHARE = 0.05;
+const MAX_OPTIMISTIC_SHARE = 0.05;
 
-/** How long a silent owner is left alone before it is asked again. */
-const SILENT_OWNER_MS = 500;
+/** Time for which an owner that did not answer is not called again. */
+const OWNER_RETRY_MS = 500;
 
-/** A chunk beyond the need covers this VM's own use for so long. */
-const PREFETCH_MS = 1_000;
+/** A prefetched chunk covers the use that this VM expects in this time. */
+const PREFETCH_DEMAND_MS = 1_000;
 
 /**
- * A chunk beyond the need is at most so much of the whole limit, so that a
- * small limit is not held by one VM while another has none.
+ * A prefetched chunk is at most the whole limit's amount for this time, so that
+ * one VM does not hold a small limit while another has none.
  */
-const MAX_PREFETCH_MS = 250;
+const MAX_PREFETCH_RATE_MS = 250;
 
-/** State not used for so long is dropped. */
+/** State that was not used for this long is dropped. */
 const IDLE_MS = 60_000;
 
-/** What a held limit needs. */
+/** Options of `LimitClient`. */
 export interface LimitClientOptions {
   clock: Clock;
   countEntryVms: () => number;
-  /** Undefined when no owner answered. */
+  /** Resolves to undefined where no owner answered. */
   fetchChunk: (amount: LimitAmount) => Promise<LimitAnswer | undefined>;
 }
 
 /** A request that waits for a chunk. */
 interface Waiter {
   amount: LimitAmount;
-  resolve: (verdict: Verdict) => void;
+  resolve: (result: WaitResult) => void;
 }
 
-/** What a waiter hears. */
-type Verdict =
+/** Result of waiting for a chunk. */
+type WaitResult =
   | { kind: "admitted" }
   | { kind: "denied"; retryAfterMs: number }
   | { kind: "silent" };
 
-/** Chunks, local share and waiters of one workspace on this VM. */
+/** Chunks, local share and waiting requests of one workspace on this VM. */
 export class LimitClient {
   readonly #options: LimitClientOptions;
   readonly #chunks = ChunkStore.create();
   readonly #demand: DemandMeter;
   readonly #local: LocalLimit;
   #waiters: Waiter[] = [];
-  #isAsking = false;
+  #isFetching = false;
   /**
-   * Used without a chunk; the owner hears of it with the next call. Negative
-   * tokens were paid for and not used: the next requests here use them. They
-   * are not sent back to the owner, since a repeated message would then give
-   * them back twice.
+   * Amount used without a chunk, which the next call reports to the owner.
+   * Negative tokens were paid for and not used: the next requests here use
+   * them. They are not returned to the owner, since a repeated message would
+   * return them twice.
    */
   #owed: LimitAmount = { requests: 0, tokens: 0 };
   #deniedUntil = -Infinity;
@@ -92,7 +92,7 @@
     const now = this.#options.clock.now();
     const amount = { requests: 1, tokens };
     this.#usedAt = now;
-    checkPossible(workspace, tokens);
+    checkFitsLimit(workspace, tokens);
     if (this.#waiters.length === 0 && this.#takeChunk(amount)) {
       this.#noteAdmitted(workspace, amount);
       return;
@@ -101,25 +101,29 @@
       throw buildLimitRefusal(workspace, this.#deniedUntil - now);
     }
     if (now < this.#silentUntil) this.#takeLocal(workspace, amount);
-    else if (this.#canGoAhead(workspace, amount)) this.#addOwed(amount);
+    else if (this.#canAdmitAhead(workspace, amount)) this.#addOwed(amount);
     else await this.#takeFromOwner(workspace, amount);
     this.#noteAdmitted(workspace, amount);
   }
 
-  /** Gives back `tokens` that were not used, or owes them when negative. */
+  /** Returns `tokens` that were not used; negative tokens are owed. */
   settle(tokens: number): void {
     this.#owed.tokens -= tokens;
     if (this.#owed.tokens < 0) this.#deniedUntil = -Infinity;
   }
 
-  /** Whether dropping this state loses nothing that still counts. */
+  /**
+   * Whether this state can be dropped without losing a debt or a pending call.
+   */
   isIdle(): boolean {
     const now = this.#options.clock.now();
-    return !this.#isAsking && !this.#local.isInDebt() &&
+    return !this.#isFetching && !this.#local.isInDebt() &&
       now - this.#usedAt > IDLE_MS;
   }
 
-  /** Takes one request from the chunks, its tokens from the credit first. */
+  /**
+   * Takes one request from the chunks; its tokens come from the credit first.
+   */
   #takeChunk(amount: LimitAmount): boolean {
     const credit = Math.max(0, -this.#owed.tokens);
     const fromCredit = Math.min(credit, amount.tokens);
@@ -132,15 +136,15 @@
   }
 
   /**
-   * A request goes ahead of the owner's word when nothing is owed yet and one
-   * such request on every VM is a small part of the limit.
+   * Whether a request may be admitted before the owner agrees: nothing is owed
+   * yet, and one such request on every VM is a small part of the limit.
    */
-  #canGoAhead(workspace: Workspace, amount: LimitAmount): boolean {
+  #canAdmitAhead(workspace: Workspace, amount: LimitAmount): boolean {
     if (this.#owed.requests > 0 || this.#waiters.length > 0) return false;
     const vms = this.#options.countEntryVms();
     const { requestsPerMinute, tokensPerMinute } = workspace.limits;
-    return vms * amount.requests <= requestsPerMinute * MAX_AHEAD_SHARE &&
-      vms * amount.tokens <= tokensPerMinute * MAX_AHEAD_SHARE;
+    return vms * amount.requests <= requestsPerMinute * MAX_OPTIMISTIC_SHARE &&
+      vms * amount.tokens <= tokensPerMinute * MAX_OPTIMISTIC_SHARE;
   }
 
   #addOwed(amount: LimitAmount): void {
@@ -152,20 +156,20 @@
     workspace: Workspace,
     amount: LimitAmount,
   ): Promise<void> {
-    const verdict = await this.#waitForChunk(workspace, amount);
-    if (verdict.kind === "denied") {
-      throw buildLimitRefusal(workspace, verdict.retryAfterMs);
+    const result = await this.#waitForChunk(workspace, amount);
+    if (result.kind === "denied") {
+      throw buildLimitRefusal(workspace, result.retryAfterMs);
     }
-    if (verdict.kind === "silent") this.#takeLocal(workspace, amount);
+    if (result.kind === "silent") this.#takeLocal(workspace, amount);
   }
 
   #noteAdmitted(workspace: Workspace, amount: LimitAmount): void {
     const now = this.#options.clock.now();
     this.#demand.note(amount, now);
-    if (this.#isAsking || now < this.#deniedUntil) return;
+    if (this.#isFetching || now < this.#deniedUntil) return;
     if (now < this.#silentUntil) return;
-    const isOwing = this.#owed.requests > 0;
-    if (isOwing || this.#isLow(workspace)) void this.#askOwner(workspace);
+    const hasDebt = this.#owed.requests > 0;
+    if (hasDebt || this.#isLow(workspace)) void this.#fetchFromOwner(workspace);
   }
 
   /** Whether to fetch the next chunk before this one runs out. */
@@ -177,17 +181,17 @@
       left.tokens < extra.tokens / 2;
   }
 
-  /** What to hold beyond the need; nothing where the limit is small. */
+  /** Amount to prefetch; nothing where the limit is small. */
   #computePrefetch(workspace: Workspace): LimitAmount {
     const rate = computeLimitRate(workspace);
     const now = this.#options.clock.now();
-    const expected = this.#demand.compute(PREFETCH_MS, now);
+    const expected = this.#demand.compute(PREFETCH_DEMAND_MS, now);
     const requests = Math.floor(
-      Math.min(expected.requests, rate.requests * MAX_PREFETCH_MS),
+      Math.min(expected.requests, rate.requests * MAX_PREFETCH_RATE_MS),
     );
     if (requests < 1) return { requests: 0, tokens: 0 };
     const tokens = Math.floor(
-      Math.min(expected.tokens, rate.tokens * MAX_PREFETCH_MS),
+      Math.min(expected.tokens, rate.tokens * MAX_PREFETCH_RATE_MS),
     );
     return { requests, tokens };
   }
@@ -195,53 +199,54 @@
   async #waitForChunk(
     workspace: Workspace,
     amount: LimitAmount,
-  ): Promise<Verdict> {
+  ): Promise<WaitResult> {
     const { clock } = this.#options;
     const waiter: Waiter = { amount, resolve: () => {} };
-    const verdict = new Promise<Verdict>((resolve) => {
+    const result = new Promise<WaitResult>((resolve) => {
       waiter.resolve = resolve;
     });
     this.#waiters.push(waiter);
     const cancelTimer = clock.startTimer(
-      OWNER_WAIT_MS,
-      () => this.#onOverdue(waiter),
+      OWNER_TIMEOUT_MS,
+      () => this.#onTimeout(waiter),
     );
-    if (!this.#isAsking) void this.#askOwner(workspace);
-    await verdict;
+    if (!this.#isFetching) void this.#fetchFromOwner(workspace);
+    await result;
     cancelTimer();
-    return verdict;
+    return result;
   }
 
-  /** The owner's answer may still come and is kept then. */
-  #onOverdue(waiter: Waiter): void {
-    this.#silentUntil = this.#options.clock.now() + SILENT_OWNER_MS;
+  /** The owner's answer may still arrive and is used then. */
+  #onTimeout(waiter: Waiter): void {
+    this.#silentUntil = this.#options.clock.now() + OWNER_RETRY_MS;
     this.#waiters = this.#waiters.filter((other) => other !== waiter);
     waiter.resolve({ kind: "silent" });
   }
 
   /**
-   * Asks until no waiter is left. The chunk's life counts from before the call,
-   * so that an answer that comes late has less of it, or none.
+   * Calls the owner until no request waits. A chunk's lifetime counts from
+   * before the call, so a late answer brings a chunk with less time left, or an
+   * expired one.
    */
-  async #askOwner(workspace: Workspace): Promise<void> {
+  async #fetchFromOwner(workspace: Workspace): Promise<void> {
     const { clock, fetchChunk } = this.#options;
-    this.#isAsking = true;
+    this.#isFetching = true;
     try {
       do {
-        const askedAt = clock.now();
-        const amount = this.#computeAsk(workspace);
+        const calledAt = clock.now();
+        const amount = this.#computeFetchAmount(workspace);
         const answered = fetchChunk(amount).then((answer) => {
           if (answer === undefined) this.#onSilentOwner();
-          else this.#onAnswer(answer, askedAt);
+          else this.#onAnswer(answer, calledAt);
         });
-        await Promise.race([answered, clock.sleep(OWNER_WAIT_MS)]);
+        await Promise.race([answered, clock.sleep(OWNER_TIMEOUT_MS)]);
       } while (this.#waiters.length > 0);
     } finally {
-      this.#isAsking = false;
+      this.#isFetching = false;
     }
   }
 
-  #computeAsk(workspace: Workspace): LimitAmount {
+  #computeFetchAmount(workspace: Workspace): LimitAmount {
     const extra = this.#computePrefetch(workspace);
     let requests = extra.requests + this.#owed.requests;
     let tokens = extra.tokens + this.#owed.tokens;
@@ -252,17 +257,17 @@
     return { requests, tokens: Math.max(0, tokens) };
   }
 
-  #onAnswer(answer: LimitAnswer, askedAt: number): void {
+  #onAnswer(answer: LimitAnswer, calledAt: number): void {
     this.#silentUntil = -Infinity;
     if (answer.requests === 0) {
       this.#onDenied(answer.retryAfterMs);
       return;
     }
-    this.#chunks.add(this.#settleOwed(answer), askedAt + answer.ttlMs);
+    this.#chunks.add(this.#settleOwed(answer), calledAt + answer.ttlMs);
     this.#admitWaiters();
   }
 
-  /** Pays what is owed; gives what is left of the answer. */
+  /** Pays what is owed, and returns the rest of the answer. */
   #settleOwed(answer: LimitAmount): LimitAmount {
     const requests = Math.min(this.#owed.requests, answer.requests);
     const tokens = Math.min(Math.max(0, this.#owed.tokens), answer.tokens);
@@ -289,20 +294,20 @@
   }
 
   #onSilentOwner(): void {
-    this.#silentUntil = this.#options.clock.now() + SILENT_OWNER_MS;
+    this.#silentUntil = this.#options.clock.now() + OWNER_RETRY_MS;
     this.#settleWaiters({ kind: "silent" });
   }
 
-  #settleWaiters(verdict: Verdict): void {
+  #settleWaiters(result: WaitResult): void {
     const waiters = this.#waiters;
     this.#waiters = [];
-    for (const { resolve } of waiters) resolve(verdict);
+    for (const { resolve } of waiters) resolve(result);
   }
 
   /**
-   * The owner may be alive and only its answer lost; were the use not owed, it
-   * would come on top of the whole rate, which shows as overshoot on a lossy
-   * network.
+   * Takes the amount from the local share, and owes it to the owner as well:
+   * the owner may be alive with only its answer lost. Otherwise the use would
+   * come on top of the whole rate and exceed the limit on a lossy network.
    */
   #takeLocal(workspace: Workspace, amount: LimitAmount): void {
     this.#local.take(workspace, amount);
--- a/src/process/limits/limit_owner.ts
+++ b/src/process/limits/limit_owner.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's side of the workspaces' limits.
+ * Owner's side of the workspaces' limits.
  *
  * @module
  */
@@ -14,13 +14,13 @@
   type LimitRate,
 } from "./limit_bucket.ts";
 
-/** How long a chunk may be used, counted by its holder from the call. */
+/** Lifetime of a chunk, which its holder counts from the call. */
 export const CHUNK_TTL_MS = 5_000;
 
-/** A debt is at most one grant; this only keeps the answer finite. */
+/** Keeps the answer finite; a debt is at most one grant. */
 const MAX_RETRY_AFTER_MS = 600_000;
 
-/** What a call gets that was sent to the wrong VM. */
+/** Answer to a call that was sent to the wrong VM. */
 const NOT_OWNER: LimitAnswer = {
   isOwner: false,
   requests: 0,
@@ -29,12 +29,12 @@
   retryAfterMs: 0,
 };
 
-/** The key under which the membership names a workspace's owner. */
+/** Key by which the membership names the owner of a workspace's limit. */
 export function toLimitKey(workspace: WorkspaceName): string {
   return `limit:${workspace}`;
 }
 
-/** What the owner's side needs. */
+/** Options of `LimitOwner`. */
 export interface LimitOwnerOptions {
   vm: VmId;
   clock: Clock;
@@ -45,13 +45,13 @@
 /**
  * Grants chunks of the limits that this VM owns.
  *
- * Two VMs may believe that they own a limit, and a new owner does not know
- * what the old one granted. A full bucket at each change would then grant the
- * burst twice, which shows as an admitted rate above the limit right after a
- * VM was lost. So a bucket is empty at the moment at which this VM may have
- * become owner. Under a partition each side has an owner; each fills only at
- * the share of the listed entry VMs that it can reach, so that the sides
- * together do not exceed the rate.
+ * Two VMs may consider themselves the owner of a limit, and a new owner does
+ * not know what the previous one granted. If its bucket started full, the burst
+ * would be granted twice, and the admitted rate would exceed the limit right
+ * after a VM is lost. Therefore a bucket is empty at the moment at which this
+ * VM may have become the owner. Under a partition each side has an owner; each
+ * refills only at the share of the listed entry VMs that it can reach, so that
+ * the sides together do not exceed the rate.
  */
 export class LimitOwner {
   readonly #options: LimitOwnerOptions;
@@ -73,7 +73,7 @@
     return new LimitOwner(options);
   }
 
-  /** Buckets held now. */
+  /** Number of buckets. */
   get size(): number {
     return this.#buckets.size;
   }
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Forgets all after a pause: while this VM slept, another may have owned
-   * its limits, and the buckets would have filled up meanwhile.
+   * Forgets all buckets after a pause of this VM: another VM may have owned its
+   * limits, and the buckets would have refilled meanwhile.
    */
   clear(): void {
     this.#buckets.clear();
@@ -133,14 +133,17 @@
 
   #onMembershipChange(): void {
     this.#dropLostBuckets();
-    const before = this.#reachable;
+    const previous = this.#reachable;
     this.#reachable = this.#findReachable();
     this.#share = this.#computeShare();
-    const isOneLost = [...before].some((vm) => !this.#reachable.has(vm));
-    if (isOneLost) this.#ownerSince = this.#options.clock.now();
+    const hasLostPeer = [...previous].some((vm) => !this.#reachable.has(vm));
+    if (hasLostPeer) this.#ownerSince = this.#options.clock.now();
   }
 
-  /** Brings the kept buckets up to now at the share so far. */
+  /**
+   * Drops the buckets of limits that this VM no longer owns, and fills the
+   * others up to now at the previous share.
+   */
   #dropLostBuckets(): void {
     const now = this.#options.clock.now();
     for (const [workspace, bucket] of this.#buckets) {
@@ -165,15 +168,15 @@
     );
   }
 
-  /** The share of the listed live entry VMs that this VM can reach. */
+  /** Share of the listed live entry VMs that this VM can reach. */
   #computeShare(): number {
     const { membership, vm } = this.#options;
     const live = membership.listEntryVms()
       .filter((entry) => entry.state === "live");
     if (live.length === 0) return 1;
-    const near = live
+    const reachable = live
       .filter(({ id }) => id === vm || membership.isReachable(id));
-    return Math.max(1, near.length) / live.length;
+    return Math.max(1, reachable.length) / live.length;
   }
 }
 
--- a/src/process/limits/limit_refusals.ts
+++ b/src/process/limits/limit_refusals.ts
@@ -1,13 +1,13 @@
 /**
- * What a caller is told whose workspace is over its limit.
+ * Refusals of requests whose workspace is over its limit.
  *
  * @module
  */
 import { RefusalError } from "../../outcome.ts";
 import type { Workspace } from "../../version/records.ts";
 
-/** Throws `RefusalError` for what no waiting helps. */
-export function checkPossible(workspace: Workspace, tokens: number): void {
+/** Throws `RefusalError` for a request that no wait would admit. */
+export function checkFitsLimit(workspace: Workspace, tokens: number): void {
   const { requestsPerMinute, tokensPerMinute } = workspace.limits;
   if (requestsPerMinute > 0 && tokens <= tokensPerMinute) return;
   throw new RefusalError({
@@ -18,7 +18,7 @@
   });
 }
 
-/** The refusal of a request that could be admitted in `waitMs`. */
+/** Refusal of a request that could be admitted in `waitMs`. */
 export function buildLimitRefusal(
   workspace: Workspace,
   waitMs: number,
@@ -34,8 +34,9 @@
 }
 
 /**
- * The refusal of a request that found no answering owner and this VM's share
- * used up. The workspace may well be within its limit, so nothing else is said.
+ * Refusal of a request for which no owner answered and this VM's share is used
+ * up. The workspace may well be within its limit, so the message does not say
+ * otherwise.
  */
 export function buildShareRefusal(
   workspace: Workspace,
@@ -43,9 +44,8 @@
 ): RefusalError {
   return new RefusalError({
     code: "owner_unreachable",
-    message:
-      `The VM that keeps the limit of workspace ${workspace.name} does ` +
-      "not answer, and this VM's own share of the limit is used up",
+    message: `The VM that owns the limit of workspace ${workspace.name} does ` +
+      "not answer, and this VM's share of the limit is used up",
     outcome: "not_run",
     retryAfterMs: Math.ceil(waitMs),
   });
--- a/src/process/limits/local_limit.ts
+++ b/src/process/limits/local_limit.ts
@@ -1,5 +1,5 @@
 /**
- * This VM's own part of a workspace's rate, for when no owner answers.
+ * This VM's own share of a workspace's rate, for when no owner answers.
  *
  * @module
  */
@@ -12,13 +12,13 @@
 } from "./limit_bucket.ts";
 import { buildShareRefusal } from "./limit_refusals.ts";
 
-/** What a local limit needs. */
+/** Options of `LocalLimit`. */
 export interface LocalLimitOptions {
   clock: Clock;
   countEntryVms: () => number;
 }
 
-/** One VM's part of one workspace's rate. */
+/** One VM's share of one workspace's rate. */
 export class LocalLimit {
   readonly #options: LocalLimitOptions;
   #bucket: LimitBucket | undefined;
@@ -32,7 +32,7 @@
     return new LocalLimit(options);
   }
 
-  /** Takes `amount`, or throws `RefusalError` where it is used up. */
+  /** Takes `amount`, or throws `RefusalError` where the share is used up. */
   take(workspace: Workspace, amount: LimitAmount): void {
     const { clock, countEntryVms } = this.#options;
     const now = clock.now();
--- a/src/process/limits/request_rate_limiter.ts
+++ b/src/process/limits/request_rate_limiter.ts
@@ -1,33 +1,32 @@
 /**
- * The limit on requests a second that an upstream names, as one sender keeps
- * it.
+ * Limiter for the requests per second that an upstream announces, as one sender
+ * applies it.
  *
  * @module
  */
 const MS_PER_SECOND = 1_000;
-/** What was not used piles up for so long, in milliseconds. */
+/** Time for which unused requests accumulate. */
 const BURST_MS = 250;
 /**
- * An upstream that takes no requests gets one now and then all the same: only
- * an answer tells that it takes some again.
+ * An upstream that accepts no requests still gets one now and then: only an
+ * answer shows that it accepts some again.
  */
-const LEAST_PER_S = 0.1;
+const MIN_PER_S = 0.1;
 /**
- * What was sent beyond the limit is made up for within so long, in
- * milliseconds. A VM that could not hear the others would else wait for
- * minutes once it does.
+ * Requests beyond the limit are made up for within this time. Otherwise a VM
+ * that could not reach the others would wait for minutes once it can.
  */
-const MOST_DEBT_MS = 10_000;
+const MAX_DEBT_MS = 10_000;
 /** Rounding in sums of fractions must not turn a level of 0 into a debt. */
 const ROUNDING = 1e-6;
 
 /**
- * A token bucket that may go below 0: requests that others have sent count as
- * soon as they are heard of.
+ * A token bucket that may drop below 0: requests of other senders are charged
+ * as soon as they are reported.
  */
 export class RequestRateLimiter {
   #requestsPerS = Infinity;
-  #namedAt = -Infinity;
+  #announcedAt = -Infinity;
   #level = 0;
   #updatedAt: number;
 
@@ -35,23 +34,25 @@
     this.#updatedAt = now;
   }
 
-  /** An upstream that has named no limit up to `now`. */
+  /**
+   * Creates a limiter for an upstream that has announced no limit up to `now`.
+   */
   static create(now: number): RequestRateLimiter {
     return new RequestRateLimiter(now);
   }
 
-  /** Requests a second; undefined while the upstream names no limit. */
+  /** Requests per second; undefined while the upstream announces no limit. */
   get limit(): number | undefined {
     return this.#requestsPerS === Infinity ? undefined : this.#requestsPerS;
   }
 
   /**
-   * Takes in the limit that an answer named at `namedAt`, infinite for none.
-   * An older answer than the last one changes nothing.
+   * Applies the limit in an answer that came at `announcedAt`, infinite for
+   * none. An answer older than the last one changes nothing.
    */
-  noteLimit(requestsPerS: number, namedAt: number): void {
-    if (namedAt < this.#namedAt) return;
-    this.#namedAt = namedAt;
+  noteLimit(requestsPerS: number, announcedAt: number): void {
+    if (announcedAt < this.#announcedAt) return;
+    this.#announcedAt = announcedAt;
     this.#requestsPerS = requestsPerS;
   }
 
@@ -61,7 +62,7 @@
    */
   computeWaitMs(now: number, share = 1): number {
     if (this.limit === undefined) return 0;
-    const perS = Math.max(LEAST_PER_S, this.#requestsPerS) * share;
+    const perS = Math.max(MIN_PER_S, this.#requestsPerS) * share;
     if (perS === 0) return Infinity;
     const perMs = perS / MS_PER_SECOND;
     this.#update(now, perMs);
@@ -77,7 +78,7 @@
     const ms = Math.max(0, now - this.#updatedAt);
     this.#updatedAt = now;
     const level = this.#level + ms * perMs;
-    const least = -MOST_DEBT_MS * perMs;
-    this.#level = Math.min(BURST_MS * perMs, Math.max(least, level));
+    const minLevel = -MAX_DEBT_MS * perMs;
+    this.#level = Math.min(BURST_MS * perMs, Math.max(minLevel, level));
   }
 }
--- a/src/process/limits/workspace_limits.ts
+++ b/src/process/limits/workspace_limits.ts
@@ -1,5 +1,5 @@
 /**
- * The workspaces' limits on requests and tokens a minute, held fleet-wide
+ * Limits of workspaces on requests and tokens per minute, enforced fleet-wide
  * without shared state.
  *
  * @module
@@ -22,12 +22,12 @@
 /** A tick this late means that the process was paused. */
 const PAUSE_MS = 1_500;
 
-/** What the limits need. */
+/** Options of `WorkspaceLimits`. */
 export interface WorkspaceLimitsOptions {
   environment: Environment;
   membership: MembershipView;
   getSnapshot: () => Snapshot | undefined;
-  /** The channel to this VM itself, for limits that it owns. */
+  /** Channel to this VM itself, for limits that it owns. */
   getLocal: () => PeerApi;
 }
 
@@ -35,7 +35,7 @@
 export class WorkspaceLimits extends LimitSource {
   readonly #options: WorkspaceLimitsOptions;
   readonly #owner: LimitOwner;
-  readonly #held = new Map<WorkspaceName, LimitClient>();
+  readonly #clients = new Map<WorkspaceName, LimitClient>();
   #cancelTick: CancelTimer;
   #tickedAt: number;
   #calls = 0;
@@ -62,11 +62,11 @@
     return new WorkspaceLimits(options);
   }
 
-  /** Buckets, held limits and calls to owners so far, for metrics. */
+  /** Buckets, limit clients and calls to owners so far, for metrics. */
   get stats(): { buckets: number; held: number; calls: number } {
     return {
       buckets: this.#owner.size,
-      held: this.#held.size,
+      held: this.#clients.size,
       calls: this.#calls,
     };
   }
@@ -76,7 +76,7 @@
     tokens: number,
   ): Promise<void> {
     const record = this.#findWorkspace(workspace);
-    await this.#getHeld(workspace).admit(record, Math.max(0, tokens));
+    await this.#getClient(workspace).admit(record, Math.max(0, tokens));
   }
 
   override settle(
@@ -84,7 +84,7 @@
     counts: { estimated: number; actual: number },
   ): void {
     if (this.#options.getSnapshot()?.workspaces.has(workspace) !== true) return;
-    this.#getHeld(workspace).settle(counts.estimated - counts.actual);
+    this.#getClient(workspace).settle(counts.estimated - counts.actual);
   }
 
   /** Answers another VM, or this one, as the owner of a limit. */
@@ -93,7 +93,6 @@
     return this.#owner.answer(call);
   }
 
-  /** Stops the timer. */
   close(): void {
     this.#cancelTick();
   }
@@ -108,15 +107,15 @@
     });
   }
 
-  #getHeld(workspace: WorkspaceName): LimitClient {
-    const known = this.#held.get(workspace);
+  #getClient(workspace: WorkspaceName): LimitClient {
+    const known = this.#clients.get(workspace);
     if (known !== undefined) return known;
     const held = LimitClient.create({
       clock: this.#options.environment.clock,
       countEntryVms: () => this.#options.membership.listEntryVms().length,
       fetchChunk: (amount) => this.#fetchChunk(workspace, amount),
     });
-    this.#held.set(workspace, held);
+    this.#clients.set(workspace, held);
     return held;
   }
 
@@ -145,17 +144,18 @@
     const { clock } = this.#options.environment;
     this.#notePause();
     this.#owner.dropIdle();
-    for (const [workspace, held] of this.#held) {
-      if (held.isIdle()) this.#held.delete(workspace);
+    for (const [workspace, held] of this.#clients) {
+      if (held.isIdle()) this.#clients.delete(workspace);
     }
     this.#tickedAt = clock.now();
     this.#cancelTick = clock.startTimer(TICK_MS, () => this.#onTick());
   }
 
   /**
-   * A VM that was paused wakes up still believing that it owns its limits. Its
-   * buckets would have filled up over the pause, while the next owner granted
-   * the same time's worth. A late tick shows the pause.
+   * Clears the buckets after a pause, which a late tick shows. A paused VM
+   * still considers itself the owner of its limits when it wakes up, and its
+   * buckets would have refilled over the pause while the next owner granted the
+   * same time's worth.
    */
   #notePause(): void {
     const now = this.#options.environment.clock.now();
--- a/src/process/owned_placement.ts
+++ b/src/process/owned_placement.ts
@@ -9,10 +9,10 @@
 import type { Log } from "./log.ts";
 import type { Random } from "./random.ts";
 import {
-  type DecisionShare,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
+  type PlacementRole,
   type PlacementState,
   ReplicaChooser,
   type ReplicaDirectory,
@@ -155,7 +155,7 @@
   }
 
   /** Who decides on a pool's requests beside this VM. */
-  getShare(pool: PoolName): DecisionShare {
+  getShare(pool: PoolName): PlacementRole {
     const { vm, peers } = this.#options;
     const others = peers.listKnown();
     if (others.length === 0 && this.#options.hasSeeds()) {
--- a/src/process/placement/eligible_replicas.ts
+++ b/src/process/placement/eligible_replicas.ts
@@ -1,5 +1,6 @@
 /**
- * Which replicas of a pool suit a prompt, before any of them is weighed.
+ * Selects the replicas of a pool that may get a prompt, before any of them is
+ * scored.
  *
  * @module
  */
@@ -12,33 +13,33 @@
 import type { ListedReplica } from "./replica_list.ts";
 
 /**
- * Keeps long prompts away from replicas that are kept for interactive streams.
+ * Keeps long prompts away from replicas reserved for interactive streams.
  *
- * Interactive streams go elsewhere as well while those have no slot left. In a
- * burst of them some forty waited at each such replica, a second and more for a
- * slot, while others ran three requests on sixteen slots: of 160 in a second
- * five began in time. The replicas that are kept for them grow in number, but
- * not before half of the pool, and only as others end their long prompts.
+ * Interactive streams spill over to other replicas while the reserved ones have
+ * no free slot. In a burst, about forty of them would otherwise wait at each
+ * reserved replica for a second or more, while the others ran three requests on
+ * sixteen slots. More replicas get reserved too late for that: at most half of
+ * the pool, and only as their long prompts end.
  */
-export function listSuited(
+export function listEligible(
   loaded: readonly LoadedReplica[],
   { isInteractive }: PlacementNeeds,
   split: InteractiveSplit,
 ): readonly LoadedReplica[] {
-  const suited = loaded.filter(({ replica }) =>
-    isSuited(replica, isInteractive, split)
+  const eligible = loaded.filter(({ replica }) =>
+    isEligible(replica, isInteractive, split)
   );
-  if (suited.length === 0) return loaded;
-  if (!isInteractive || suited.some(hasFreeSlot)) return suited;
+  if (eligible.length === 0) return loaded;
+  if (!isInteractive || eligible.some(hasFreeSlot)) return eligible;
   const free = loaded.filter(hasFreeSlot);
-  return free.length > 0 ? free : suited;
+  return free.length > 0 ? free : eligible;
 }
 
 function hasFreeSlot({ replica, load }: LoadedReplica): boolean {
   return load.running < replica.slots;
 }
 
-function isSuited(
+function isEligible(
   replica: ListedReplica,
   isInteractive: boolean,
   split: InteractiveSplit,
@@ -46,5 +47,5 @@
   if (split === NO_SPLIT) return true;
   return isInteractive
     ? split.forInteractive.has(replica.id)
-    : !split.notForLong.has(replica.id);
+    : !split.closedToLongPrompts.has(replica.id);
 }
--- a/src/process/placement/fetch_source.ts
+++ b/src/process/placement/fetch_source.ts
@@ -1,11 +1,10 @@
 /**
- * Which replica can hand over the parts of a prompt that it has read.
+ * Finds a replica from which others can fetch the cached parts of a prompt.
  *
- * A part that is cached elsewhere comes over the replicas' own links in a tenth
- * of the time that it takes to be read. Under a flood a prompt can then go to
- * an idle replica without the prefill that keeps everybody's queues long: there
- * long prompts earned 0.73 of their credit instead of 0.65, and a third fewer
- * tokens of shared parts were read again.
+ * Fetching cached parts over the links between replicas takes a tenth of the
+ * time that prefilling them does. Under overload this lets a prompt go to an
+ * idle replica without prefilling its shared parts again, which would lengthen
+ * all queues.
  *
  * @module
  */
@@ -14,25 +13,29 @@
 import type { PrefixIndex } from "./prefix_index.ts";
 import type { ListedReplica } from "./replica_list.ts";
 
-/** Fewer tokens are read in the time that a transfer takes to be set up. */
-const LEAST_FETCHED_TOKENS = 1_000;
+/**
+ * Fewer tokens are prefilled in the time that it takes to set up a transfer.
+ */
+const MIN_FETCHED_TOKENS = 1_000;
 
-/** A prompt's parts, in order. */
+/** Parts of a prompt, in order. */
 export interface PromptParts {
   parts: readonly string[];
   partTokens: readonly number[];
 }
 
-/** The replica that has read most of a prompt. */
+/** The replica that has prefilled most of a prompt. */
 export interface FetchSource {
   replica: VmId;
   endpoint: Endpoint;
-  /** Tokens that it has, from the prompt's begin on. */
-  readTokens: number;
+  /** Tokens that it has cached, from the start of the prompt. */
+  cachedTokens: number;
 }
 
 /**
- * Finds it; undefined where none has read enough. The last part is no one's.
+ * Finds the replica that has prefilled most of a prompt; undefined where none
+ * has prefilled enough. The last part of a prompt is unique to it, so only the
+ * shared parts are looked up.
  */
 export function findFetchSource(
   replicas: readonly ListedReplica[],
@@ -42,28 +45,28 @@
   const shared = parts.slice(0, -1);
   let best: FetchSource | undefined;
   for (const replica of replicas) {
-    const count = prefixes.countRead(replica.id, shared);
-    const readTokens = computeTokens(partTokens.slice(0, count));
-    if (readTokens < LEAST_FETCHED_TOKENS) continue;
-    if (best !== undefined && best.readTokens >= readTokens) continue;
+    const count = prefixes.countPrefilled(replica.id, shared);
+    const cachedTokens = computeTotalTokens(partTokens.slice(0, count));
+    if (cachedTokens < MIN_FETCHED_TOKENS) continue;
+    if (best !== undefined && best.cachedTokens >= cachedTokens) continue;
     const endpoint = formatEndpoint(replica);
-    best = { replica: replica.id, endpoint, readTokens };
+    best = { replica: replica.id, endpoint, cachedTokens };
   }
   return best;
 }
 
-/** Tokens that `replica` would fetch, given those that it holds. */
-export function computeFetched(
+/** Tokens that `replica` would fetch, given those that it has cached itself. */
+export function computeFetchedTokens(
   source: FetchSource | undefined,
   replica: VmId,
   heldTokens: number,
 ): number {
   if (source === undefined || source.replica === replica) return 0;
-  const tokens = source.readTokens - heldTokens;
-  return tokens < LEAST_FETCHED_TOKENS ? 0 : tokens;
+  const tokens = source.cachedTokens - heldTokens;
+  return tokens < MIN_FETCHED_TOKENS ? 0 : tokens;
 }
 
-/** All tokens of some parts. */
-export function computeTokens(partTokens: readonly number[]): number {
+/** Sum of the tokens of some parts. */
+export function computeTotalTokens(partTokens: readonly number[]): number {
   return partTokens.reduce((sum, tokens) => sum + tokens, 0);
 }
--- a/src/process/placement/index.ts
+++ b/src/process/placement/index.ts
@@ -1,14 +1,11 @@
 /**
- * Where requests go, decided by each VM on what all tell each other.
+ * Choice of a replica for each request, from state that the VMs share.
  *
  * @module
  */
 export { Locality } from "./locality.ts";
 export { PlacementSource } from "./placement_source.ts";
-export type {
-  FetchPlacement as AskOwner,
-  OwnerDecision,
-} from "./placement_source.ts";
+export type { FetchPlacement, OwnerDecision } from "./placement_source.ts";
 export { ReplicaChooser } from "./replica_chooser.ts";
 export type { PlacementRequest } from "./replica_chooser.ts";
 export { PlacementState } from "./placement_state.ts";
@@ -20,7 +17,4 @@
   ListedReplica,
   ReplicaList,
 } from "./replica_list.ts";
-export type {
-  PlacementRole as DecisionShare,
-  WarmUpExcess,
-} from "./slow_start.ts";
+export type { PlacementRole, WarmUpExcess } from "./slow_start.ts";
--- a/src/process/placement/interactive_replicas.ts
+++ b/src/process/placement/interactive_replicas.ts
@@ -1,18 +1,17 @@
 /**
- * Which replicas of a pool are kept for interactive streams while long prompts
- * go to others.
+ * Reserves some replicas of a pool for interactive streams, while long prompts
+ * go to the others.
  *
- * A replica reads prompts in chunks between the tokens of its streams. Beside a
- * row of long prompts each token takes as long as a chunk: an interactive
- * stream of some hundred tokens then pauses for longer than its caller accepts,
- * and under a flood does not end before its deadline. Interactive streams read
- * little, so a few replicas can run many of them side by side at the pace of an
- * idle one. In a flood over six replicas interactive streams earned 0.89 of
- * their credit so, and 0.51 without.
+ * An engine prefills prompts in chunks between the decoding steps of its
+ * streams, so during long prefills each token takes as long as a chunk. An
+ * interactive stream of some hundred tokens then pauses for longer than its
+ * caller accepts, and under overload misses its deadline. Interactive streams
+ * need little prefill, so a few replicas can run many of them at the pace of an
+ * idle one.
  *
- * All VMs choose alike, from loads that they tell each other: the replicas with
- * the most interactive streams stay the ones for interactive streams, so a
- * choice strengthens itself and nothing moves while loads do.
+ * All VMs compute the same split, from the loads that they report to each
+ * other. The replicas with the most interactive streams stay reserved, so the
+ * split reinforces itself and stays stable while loads change.
  *
  * @module
  */
@@ -21,63 +20,68 @@
 import type { ListedReplica } from "./replica_list.ts";
 
 /**
- * Interactive streams on one replica, as a share of its slots, at which the
- * next replica is taken for interactive streams too. Streams slow each other
- * down little up to there, and a burst finds room before the next replica has
- * emptied.
+ * Interactive streams on a replica, as a share of its slots, at which another
+ * replica is reserved. Up to this share the streams hardly slow each other
+ * down, and a burst finds free slots until the long prompts of the next replica
+ * have ended.
  */
-const INTERACTIVE_SHARE = 0.4;
-/** The same while the others need every replica for their long prompts. */
-const FULL_INTERACTIVE_SHARE = 0.8;
+const TARGET_INTERACTIVE_SHARE = 0.4;
+/** The same limit while long prompts need all other replicas. */
+const MAX_INTERACTIVE_SHARE = 0.8;
 /**
- * Long prompts are left so many replicas that each reads for this share of its
- * time: beyond it the wait for a prompt's turn grows faster than the load.
+ * Long prompts keep enough replicas for each to spend at most this share of its
+ * time on prefill; beyond it, queueing delay grows faster than the load.
  */
-const PREFILL_SHARE = 0.6;
+const MAX_PREFILL_SHARE = 0.6;
 /**
- * Interactive streams' own prompts are read for no more than this share of a
- * replica's time: beyond it their streams pause beside each other's prompts.
+ * Reserved replicas spend at most this share of their time on the prompts of
+ * interactive streams; beyond it, the streams pause for each other's prefills.
  */
-const INTERACTIVE_PREFILL_SHARE = 0.5;
-/** Prefill shares of replicas that differ by less count as alike. */
-const PREFILL_STEP = 0.25;
-/** Interactive streams get no more than this share of a pool. */
-const MOST_SHARE = 0.5;
-/** In smaller pools a replica of its own would take too much from the rest. */
-const LEAST_POOL = 4;
+const MAX_INTERACTIVE_PREFILL_SHARE = 0.5;
+/** Prefill shares within one step of this size rank as equal. */
+const PREFILL_SHARE_STEP = 0.25;
+/** Largest share of a pool that is reserved for interactive streams. */
+const MAX_POOL_SHARE = 0.5;
 /**
- * A replica that is not needed for interactive streams any more takes long
- * prompts again once it has this share of the interactive streams that it is
- * meant for.
+ * In a smaller pool, reserving a replica would take too much from the other
+ * requests.
  */
-const EMPTIED_SHARE = 0.25;
+const MIN_POOL_SIZE = 4;
+/**
+ * A replica that is no longer reserved takes long prompts again once its
+ * interactive streams have dropped to this share of their target number.
+ */
+const REOPEN_SHARE = 0.25;
 
-/** A replica and everybody's work there. */
+/** A replica and the load of all VMs on it. */
 export interface LoadedReplica {
   replica: ListedReplica;
   load: ReplicaLoad;
-  /** Share of its time that it reads prompts of late. */
+  /** Share of its time that it recently spent on prefill. */
   prefillShare: number;
 }
 
-/** A pool's replicas by what they are kept for. */
+/** Division of a pool between interactive streams and long prompts. */
 export interface InteractiveSplit {
-  /** Where interactive streams should go; none where the pool is not split. */
+  /**
+   * Replicas reserved for interactive streams; empty where the pool is not
+   * split.
+   */
   forInteractive: ReadonlySet<VmId>;
   /**
-   * Where long prompts should not: those for interactive streams, and those
-   * that were.
+   * Replicas that get no long prompts: the reserved ones, and those that still
+   * run interactive streams of an earlier reservation.
    */
-  notForLong: ReadonlySet<VmId>;
+  closedToLongPrompts: ReadonlySet<VmId>;
 }
 
-/** Nothing is kept for interactive streams. */
+/** No replica is reserved. */
 export const NO_SPLIT: InteractiveSplit = {
   forInteractive: new Set(),
-  notForLong: new Set(),
+  closedToLongPrompts: new Set(),
 };
 
-/** Splits a pool in which interactive streams run, or keeps it whole. */
+/** Splits a pool in which interactive streams run, or leaves it whole. */
 export function computeInteractiveSplit(
   loaded: readonly LoadedReplica[],
 ): InteractiveSplit {
@@ -85,43 +89,43 @@
     (sum, { load }) => sum + load.interactive,
     0,
   );
-  if (interactive === 0 || loaded.length < LEAST_POOL) return NO_SPLIT;
-  const most = Math.floor(loaded.length * MOST_SHARE);
+  if (interactive === 0 || loaded.length < MIN_POOL_SIZE) return NO_SPLIT;
+  const maxCount = Math.floor(loaded.length * MAX_POOL_SHARE);
   const ordered = listByInteractive(loaded);
-  const count = Math.min(most, countNeeded(ordered, interactive));
+  const count = Math.min(maxCount, countReserved(ordered, interactive));
   const forInteractive = ordered.slice(0, count);
-  const emptying = ordered.slice(count, most).filter(isEmptying);
+  const draining = ordered.slice(count, maxCount).filter(hasInteractiveLoad);
   return {
     forInteractive: listIds(forInteractive),
-    notForLong: listIds([...forInteractive, ...emptying]),
+    closedToLongPrompts: listIds([...forInteractive, ...draining]),
   };
 }
 
 /**
- * As many as interactive streams run best on, where long prompts leave them,
- * and no fewer than hold them.
+ * Number of replicas to reserve: the ideal number for the interactive streams,
+ * as far as long prompts leave it, but at least as many as can run them.
  */
-function countNeeded(
+function countReserved(
   ordered: readonly LoadedReplica[],
   interactive: number,
 ): number {
   const slots = ordered.reduce((sum, { replica }) => sum + replica.slots, 0);
   const meanSlots = slots / ordered.length;
-  const best = Math.ceil(interactive / (INTERACTIVE_SHARE * meanSlots));
-  const least = Math.max(
-    Math.ceil(interactive / (FULL_INTERACTIVE_SHARE * meanSlots)),
-    Math.min(best, countInteractivePrefill(ordered)),
+  const ideal = Math.ceil(interactive / (TARGET_INTERACTIVE_SHARE * meanSlots));
+  const min = Math.max(
+    Math.ceil(interactive / (MAX_INTERACTIVE_SHARE * meanSlots)),
+    Math.min(ideal, countInteractivePrefill(ordered)),
   );
-  const prefill = ordered.slice(least)
+  const prefill = ordered.slice(min)
     .reduce((sum, { prefillShare }) => sum + prefillShare, 0);
-  const left = ordered.length - Math.ceil(prefill / PREFILL_SHARE);
-  return Math.max(least, Math.min(best, left));
+  const left = ordered.length - Math.ceil(prefill / MAX_PREFILL_SHARE);
+  return Math.max(min, Math.min(ideal, left));
 }
 
 /**
- * The most interactive streams first, then those that read least: one that is
- * taken for interactive streams has to end its prefills first. Among equals all
- * VMs take the same one, by the order of ids, which are drawn at random.
+ * Sorts by most interactive streams, then by least prefill, since a newly
+ * reserved replica has to finish its prefills first. Ties are broken by id, so
+ * that all VMs choose alike; ids are random.
  */
 function listByInteractive(loaded: readonly LoadedReplica[]): LoadedReplica[] {
   const ordered = [...loaded];
@@ -135,23 +139,21 @@
   return ordered;
 }
 
-/**
- * How many replicas the prompts of interactive streams need for their own
- * prefill.
- */
+/** Number of replicas needed to prefill the prompts of interactive streams. */
 function countInteractivePrefill(ordered: readonly LoadedReplica[]): number {
-  const prefill = ordered.filter(isEmptying)
+  const prefill = ordered.filter(hasInteractiveLoad)
     .reduce((sum, { prefillShare }) => sum + prefillShare, 0);
-  return Math.ceil(prefill / INTERACTIVE_PREFILL_SHARE);
+  return Math.ceil(prefill / MAX_INTERACTIVE_PREFILL_SHARE);
 }
 
-/** In steps: VMs do not know shares of prefill exactly alike. */
+/** Rounded down to steps, since VMs know prefill shares only approximately. */
 function computePrefillStep({ prefillShare }: LoadedReplica): number {
-  return Math.floor(prefillShare / PREFILL_STEP);
+  return Math.floor(prefillShare / PREFILL_SHARE_STEP);
 }
 
-function isEmptying({ replica, load }: LoadedReplica): boolean {
-  return load.interactive > EMPTIED_SHARE * INTERACTIVE_SHARE * replica.slots;
+function hasInteractiveLoad({ replica, load }: LoadedReplica): boolean {
+  return load.interactive >
+    REOPEN_SHARE * TARGET_INTERACTIVE_SHARE * replica.slots;
 }
 
 function listIds(loaded: readonly LoadedReplica[]): Set<VmId> {
--- a/src/process/placement/load_totals.ts
+++ b/src/process/placement/load_totals.ts
@@ -1,8 +1,8 @@
 /**
- * Sums of loads by replica, kept up to date with each change.
+ * Total load of each replica, updated with every change.
  *
- * A choice looks at every replica. To add up there what each of many VMs told
- * would cost VMs times replicas for each request.
+ * A choice looks at every replica. Adding up the reports of all VMs there would
+ * cost the number of VMs times the number of replicas for each request.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 
 /** Work at one replica. */
 export interface ReplicaLoad {
-  /** Prompt tokens that are still to be read before any prompt in time. */
+  /** Prompt tokens still to be prefilled, except those of deferred prompts. */
   pendingTokens: number;
-  /** The same of prompts that are late, and read after those in time. */
+  /** The same for deferred prompts, which are prefilled after those on time. */
   deferredTokens: number;
   /** Requests that have not ended. */
   running: number;
-  /** Streams among them that began with a short prompt and go on for long. */
+  /** Interactive streams among them, with short prompts and long outputs. */
   interactive: number;
 }
 
-/** No work. */
+/** Load of an idle replica. */
 export const NO_LOAD: Readonly<ReplicaLoad> = {
   pendingTokens: 0,
   deferredTokens: 0,
@@ -28,7 +28,7 @@
   interactive: 0,
 };
 
-/** Two loads together. */
+/** Sum of two loads. */
 export function addLoads(
   left: Readonly<ReplicaLoad>,
   right: Readonly<ReplicaLoad>,
@@ -41,12 +41,12 @@
   };
 }
 
-/** Prompt tokens to be read there, in whatever order. */
+/** Prompt tokens still to be prefilled, deferred or not. */
 export function countTokens(load: Readonly<ReplicaLoad>): number {
   return load.pendingTokens + load.deferredTokens;
 }
 
-/** Sums by replica. */
+/** Total loads by replica. */
 export class LoadTotals {
   readonly #totals = new Map<VmId, ReplicaLoad>();
 
@@ -62,7 +62,7 @@
     this.#totals.set(replica, addLoads(this.get(replica), load));
   }
 
-  /** Takes out what was added before. */
+  /** Subtracts a load that was added before. */
   remove(replica: VmId, load: Readonly<ReplicaLoad>): void {
     const rest = addLoads(this.get(replica), {
       pendingTokens: -load.pendingTokens,
--- a/src/process/placement/locality.ts
+++ b/src/process/placement/locality.ts
@@ -1,12 +1,12 @@
 /**
- * Which data centres may work on a request, by the regions that its route and
- * its workspace are bound to.
+ * Which data centres may serve a request, by the regions that its route and its
+ * workspace allow.
  *
  * @module
  */
 import type { DataCentre, Region } from "../../ids.ts";
 
-/** The regions of data centres. */
+/** Regions of the data centres. */
 export class Locality {
   readonly #regions: ReadonlyMap<DataCentre, Region>;
 
@@ -19,9 +19,10 @@
   }
 
   /**
-   * Whether the data centre lies in one of `regions`; any does where they are
-   * undefined. One whose region is not known lies in none: a request that must
-   * not leave its regions is better refused than sent on a guess.
+   * Whether the data centre lies in one of `regions`; true for all where
+   * `regions` is undefined. A data centre whose region is unknown lies in none:
+   * a request that must not leave its regions is refused rather than sent on a
+   * guess.
    */
   isWithin(
     dataCentre: DataCentre,
--- a/src/process/placement/part_holders.ts
+++ b/src/process/placement/part_holders.ts
@@ -1,17 +1,16 @@
 /**
- * Which replicas of a large pool should hold a shared part of prompts.
+ * Limits each shared part of prompts to a few replicas of a large pool.
  *
- * Pattern: prompts about hundreds of documents, several a second about each, on
- * many replicas. A replica caches some 100,000 tokens beside what it runs. If
- * each prompt goes wherever least is waiting, every replica reads or fetches
- * every part, what it cached a few seconds ago yields, and parts are read again
- * and again: in a flood over 98 replicas 15 of 72 million prompt tokens, over
- * 55 replicas 5 of 34 million.
+ * A replica caches some 100,000 tokens beside its running requests. If each of
+ * many prompts about hundreds of documents goes to the least loaded replica,
+ * every replica prefills or fetches every part, evicts what it cached seconds
+ * ago, and prefills the same parts again.
  *
- * Why this prevents it: a part belongs to two replicas, the first in an order
- * by its name that all VMs work out alike. A replica then has tens of parts to
- * keep instead of all. Two to choose from even loads out nearly as well as all
- * would. Only where both are far behind do more join, for a part that is hot.
+ * Therefore each part has two holders, the first in a rendezvous order by its
+ * name that all VMs compute alike, and a replica has tens of parts to keep
+ * instead of all. Two replicas to choose from balance the load nearly as well
+ * as all would. More join only where a part is hot and both holders are far
+ * behind.
  *
  * @module
  */
@@ -20,40 +19,44 @@
 import { countTokens } from "./load_totals.ts";
 
 /**
- * Smaller pools hold all parts that are in use at several replicas each, and
- * have too few to choose from.
+ * In smaller pools each part in use is cached at several replicas anyway, and
+ * there are too few replicas to choose from.
  */
-const LEAST_POOL = 16;
-/** Replicas of a part, and how many more join at a time. */
-const HOLDERS = 2;
+const MIN_POOL_SIZE = 16;
+/** Holders of a part, and how many more join at a time. */
+const HOLDERS_PER_PART = 2;
 /**
- * Holders are far behind beyond so many times the pool's mean of tokens that
- * wait, and so many tokens: two prompts more than the others.
+ * A holder is far behind if it has more queued tokens than this ratio times the
+ * mean of the pool plus this slack, which is two prompts.
  */
-const MOST_RATIO = 1.5;
-const MOST_AHEAD_TOKENS = 12_000;
+const MAX_QUEUE_RATIO = 1.5;
+const QUEUE_SLACK_TOKENS = 12_000;
 
-/** The holders of `part` among `replicas` of a pool; all in a small one. */
+/**
+ * Holders of `part` among the replicas of a pool; all replicas in a small pool,
+ * or without a shared part.
+ */
 export function listHolders(
   replicas: readonly LoadedReplica[],
   part: string | undefined,
   poolSize: number,
 ): readonly LoadedReplica[] {
-  if (part === undefined || poolSize < LEAST_POOL) return replicas;
+  if (part === undefined || poolSize < MIN_POOL_SIZE) return replicas;
   const byId = new Map(replicas.map((each) => [each.replica.id, each]));
   const ordered = computeRendezvousOrder(part, [...byId.keys()])
     .map((id) => byId.get(id)!);
-  const mostTokens = computeMostTokens(replicas);
-  const isInTime = ({ load }: LoadedReplica) => countTokens(load) <= mostTokens;
-  const first = Math.max(0, ordered.findIndex(isInTime));
-  const count = HOLDERS * (1 + Math.floor(first / HOLDERS));
+  const maxTokens = computeMaxQueuedTokens(replicas);
+  const isWithinLimit = ({ load }: LoadedReplica) =>
+    countTokens(load) <= maxTokens;
+  const first = Math.max(0, ordered.findIndex(isWithinLimit));
+  const count = HOLDERS_PER_PART * (1 + Math.floor(first / HOLDERS_PER_PART));
   return ordered.slice(0, count);
 }
 
-function computeMostTokens(replicas: readonly LoadedReplica[]): number {
+function computeMaxQueuedTokens(replicas: readonly LoadedReplica[]): number {
   const tokens = replicas.reduce(
     (sum, { load }) => sum + countTokens(load),
     0,
   );
-  return MOST_RATIO * tokens / replicas.length + MOST_AHEAD_TOKENS;
+  return MAX_QUEUE_RATIO * tokens / replicas.length + QUEUE_SLACK_TOKENS;
 }
--- a/src/process/placement/pause_cost.ts
+++ b/src/process/placement/pause_cost.ts
@@ -1,33 +1,34 @@
 /**
- * What pauses cost in a pool that is too small to keep replicas for interactive
- * streams.
+ * Cost of the pauses that prefills cause to interactive streams, in a pool too
+ * small to reserve replicas for them.
  *
  * @module
  */
 import type { LoadedReplica } from "./interactive_replicas.ts";
 
 /**
- * What each millisecond of prefill costs each interactive stream there, in
- * milliseconds: about one pause in three becomes longer than callers accept.
+ * Cost of each millisecond of prefill to each interactive stream at the
+ * replica, in milliseconds: about a third of the pauses become longer than
+ * callers accept.
  */
-const PAUSE_WEIGHT = 0.3;
+const PAUSE_COST_PER_PREFILL_MS = 0.3;
 /**
- * A replica that only reads is as good for an interactive stream as one so much
- * slower, in ms.
+ * Cost to an interactive stream of a replica that spends all its time on
+ * prefill.
  */
-const PREFILL_MS = 500;
+const FULL_PREFILL_COST_MS = 500;
 
 /**
- * What a prompt's prefill costs the interactive streams there, and the prefills
- * there an interactive stream, in a pool that keeps no replicas for interactive
- * streams. In one that does this would only keep long prompts from the replicas
- * that hold their parts.
+ * Cost of pauses at a replica: of those that a prompt's prefill causes to the
+ * interactive streams there, and of those that prefills there cause to a new
+ * interactive stream. It applies only where no replicas are reserved: elsewhere
+ * it would merely keep long prompts from the replicas that hold their parts.
  */
-export function computePauses(
+export function computePauseCostMs(
   { load, prefillShare }: LoadedReplica,
   isInteractive: boolean,
   prefillMs: number,
 ): number {
-  const ofInteractive = isInteractive ? PREFILL_MS * prefillShare : 0;
-  return ofInteractive + PAUSE_WEIGHT * prefillMs * load.interactive;
+  const ownPauseMs = isInteractive ? FULL_PREFILL_COST_MS * prefillShare : 0;
+  return ownPauseMs + PAUSE_COST_PER_PREFILL_MS * prefillMs * load.interactive;
 }
--- a/src/process/placement/placed_lease.ts
+++ b/src/process/placement/placed_lease.ts
@@ -1,6 +1,6 @@
 /**
- * A request at the replica that it was placed at: what it adds to the load, and
- * what its answer tells.
+ * Lease of a request at the replica where it was placed: adds to the replica's
+ * load and records what its answer shows.
  *
  * @module
  */
@@ -20,24 +20,24 @@
 
 const DEFAULT_PRIORITY = 5;
 /**
- * A request may wait so many times its predicted wait before silence tells
- * anything: the prediction leaves out the steps of running streams, which come
- * between the chunks of a prefill and at most double it.
+ * A request may wait this many times its predicted wait before silence counts
+ * against the replica: the prediction leaves out the steps of running streams,
+ * which come between the chunks of a prefill and at most double it.
  */
-const PREDICTION_SLACK = 2;
+const MAX_WAIT_RATIO = 2;
 
-/** What a lease is made of. */
+/** Options of `PlacedLease`. */
 export interface PlacedLeaseOptions {
   clock: Clock;
   directory: ReplicaDirectory;
   state: PlacementState;
   request: LeaseRequest;
   placement: Placement;
-  /** Whether it counts as one of an interactive stream. */
+  /** Whether the request counts as an interactive stream. */
   isInteractive: boolean;
 }
 
-/** The lease of one request at one replica. */
+/** Lease of one request at one replica. */
 export class PlacedLease extends HeldLease {
   readonly lease: LeaseId;
   readonly upstream: VmId;
@@ -48,7 +48,7 @@
   readonly preempted: AbortSignal = new AbortController().signal;
   readonly #options: PlacedLeaseOptions;
   readonly #work: PlacedWork;
-  /** Which incarnation of the replica has the request. */
+  /** Start of the replica's process that has the request. */
   readonly #startedAt: number | undefined;
   readonly #grantedAt: number;
   #hasOutput = false;
@@ -65,7 +65,8 @@
     this.reason = formatReason(placement);
     this.fetchFrom = placement.fetchFrom;
     this.#startedAt = placement.replica.startedAt;
-    // Without a start to tell them apart, each start has an id of its own.
+    // Each start of a replica is an incarnation of its own, as far as start
+    // times are known.
     this.upstreamIncarnation = toId<Incarnation>(
       `${this.upstream}@${this.#startedAt ?? ""}`,
     );
@@ -87,7 +88,7 @@
     return new PlacedLease(lease, options);
   }
 
-  /** A replica that leaves or asked to back off since gets nothing new. */
+  /** False once the replica is leaving or has asked to back off. */
   isValid(): boolean {
     const { directory, state } = this.#options;
     return directory.isReady(this.upstream) &&
@@ -98,10 +99,10 @@
     if (!this.#isSameProcess()) return false;
     const { clock, placement, request, state } = this.#options;
     const waitedMs = clock.now() - this.#grantedAt;
-    // What goes behind others waits in silence until its caller leaves.
+    // A deferred request waits without output until its caller gives up.
     const expectedMs = placement.isDeferred
       ? request.clientTimeoutMs ?? 0
-      : PREDICTION_SLACK * placement.predictedMs;
+      : MAX_WAIT_RATIO * placement.predictedMs;
     const isExpected = !this.#hasOutput && waitedMs < expectedMs;
     return isExpected || state.liveness.isAlive(this.upstream);
   }
@@ -113,9 +114,10 @@
     const { clock, request, state, placement } = this.#options;
     const { prefixes, speeds } = state;
     this.#hasOutput = true;
-    prefixes.noteRead(this.upstream, request.prefixes);
+    prefixes.notePrefilled(this.upstream, request.prefixes);
     this.#work.noteFirstOutput();
-    // What went behind others waited for more than the tokens before it.
+    // A deferred prompt has waited for more than `tokensAhead`, so its time
+    // says nothing about speed.
     if (placement.isDeferred) return;
     speeds.noteFirstOutput(
       this.upstream,
@@ -142,14 +144,20 @@
     if (state === "failed") health.noteResult(this.upstream, false);
   }
 
-  /** What came of an earlier incarnation tells nothing of this one. */
+  /**
+   * Whether the replica still runs the process that got the request: results
+   * from an earlier incarnation do not count for the current one.
+   */
   #isSameProcess(): boolean {
     const { directory } = this.#options;
     return directory.isIncarnation(this.upstream, this.#startedAt);
   }
 }
 
-/** Late prompts go behind others of their class, and before the next class. */
+/**
+ * Deferred prompts go after the others of their class and before the next
+ * class.
+ */
 function choosePriority(
   { priority, latePriority }: LeaseRequest,
   { isDeferred }: Placement,
--- a/src/process/placement/placement_choice.ts
+++ b/src/process/placement/placement_choice.ts
@@ -1,6 +1,6 @@
 /**
- * Which replica should get a request: the one that would begin its answer
- * first, by what is known of loads, speeds and cached parts of prompts.
+ * Chooses the replica that is predicted to begin the answer first, from loads,
+ * speeds and cached parts of prompts.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   computePromptScore,
   type ScoredPlacement,
 } from "./replica_score.ts";
-import { listSuited } from "./eligible_replicas.ts";
+import { listEligible } from "./eligible_replicas.ts";
 import { findFetchSource } from "./fetch_source.ts";
 import {
   computeInteractiveSplit,
@@ -29,72 +29,71 @@
  * Prefilling a part again costs its own request and all that wait behind it, so
  * it weighs more than a wait of the same length.
  */
-const PREFILL_WEIGHT = 1.5;
+const BASE_PREFILL_WEIGHT = 1.5;
 /**
- * So many tokens that wait at the mean replica are one more prompt behind each
- * prefill, beyond those of a calm time. Without this a burst makes prompts go
- * where their parts are not, and the prefill of those parts again keeps the
- * queues long after the burst: with it, a third fewer tokens are read again at
- * high load.
+ * Every `QUEUED_PROMPT_TOKENS` queued at the mean replica beyond
+ * `CALM_QUEUE_TOKENS` count as one more prompt behind each prefill. Without
+ * this, a burst sends prompts to replicas that have not cached their parts, and
+ * prefilling these parts again keeps the queues long after the burst.
  */
-const WAITING_PROMPT_TOKENS = 2_000;
-const CALM_TOKENS = 4_000;
+const QUEUED_PROMPT_TOKENS = 2_000;
+const CALM_QUEUE_TOKENS = 4_000;
 /**
- * A prompt with more tokens makes the interactive streams beside it pause like
- * any other: an engine reads so many in about one chunk.
+ * A prompt with this many tokens or more makes the interactive streams beside
+ * it pause like any long prompt: an engine prefills about as many in one chunk.
  */
-const INTERACTIVE_PROMPT_TOKENS = 4_000;
-/** The same where nothing is known of the callers' targets. */
-const SHORT_PROMPT_TOKENS = 2_000;
+const MAX_INTERACTIVE_PROMPT_TOKENS = 4_000;
+/** The same limit where the targets of the request's class are unknown. */
+const MAX_SHORT_PROMPT_TOKENS = 2_000;
 
-/** What is to be placed. */
+/** What a request needs from a replica. */
 export interface PlacementNeeds {
-  /** The shared and the own parts of the prompt, in order. */
+  /** Parts of the prompt in order: the shared ones, then the unique one. */
   parts: string[];
   partTokens: number[];
   promptTokens: number;
-  /** As `isInteractivePrompt` says of it. */
+  /** Whether `isInteractivePrompt` holds for it. */
   isInteractive: boolean;
   /**
-   * Milliseconds within which its first output is wanted. Only replicas will do
-   * that are predicted to begin by then; undefined where any will.
+   * Milliseconds within which the first output is wanted. Only replicas
+   * predicted to begin by then are eligible; undefined where all are.
    */
   targetMs?: number | undefined;
-  /** Whether it goes behind all that can still be in time. */
+  /** Whether it is prefilled after all prompts that can still be on time. */
   isDeferred?: boolean | undefined;
 }
 
-/** Where a request should go, and what it finds there. */
+/** Replica for a request, and the state in which the request finds it. */
 export interface Placement {
   replica: ListedReplica;
-  /** Prompt tokens that the replica has to read for it. */
+  /** Uncached tokens of the prompt. */
   ownTokens: number;
-  /** Prompt tokens that are to be read there before it. */
+  /** Prompt tokens to be prefilled there first. */
   tokensAhead: number;
-  /** Of its own tokens, those that another replica can hand over. */
+  /** Uncached tokens that another replica can hand over. */
   fetchedTokens: number;
-  /** That replica's endpoint; undefined where it has nothing to hand over. */
+  /** Endpoint of that replica; undefined where nothing is fetched. */
   fetchFrom?: Endpoint | undefined;
-  /** Requests that it has in hand, as far as is known. */
+  /** Requests that the replica runs, as far as is known. */
   running: number;
-  /** Predicted time to its first output, in milliseconds. */
+  /** Predicted time to first output, in milliseconds. */
   predictedMs: number;
-  /** Whether it goes behind all that can still be in time. */
+  /** Whether it is prefilled after all prompts that can still be on time. */
   isDeferred?: boolean | undefined;
-  /** The VM that decided, where it was another one. */
+  /** VM that decided, where it was another one. */
   owner?: VmId;
 }
 
-/** What the choice goes by. */
-export interface PlacementKnowledge {
+/** State that a choice is based on. */
+export interface PlacementContext {
   dataCentre: DataCentre;
   state: Pick<PlacementState, "loads" | "speeds" | "prefixes" | "prefills">;
 }
 
 /**
- * Whether a prompt begins an interactive stream that long prompts could make
- * pause. `isInteractive` says whether its class is one of interactive streams,
- * undefined where that is not known.
+ * Whether a prompt begins an interactive stream, which long prompts beside it
+ * would make pause. `isInteractive` says whether the request's class has
+ * interactive streams; undefined where that is unknown.
  */
 export function isInteractivePrompt(
   promptTokens: number,
@@ -102,66 +101,75 @@
 ): boolean {
   if (promptTokens === 0 || isInteractive === false) return false;
   return promptTokens <
-    (isInteractive === true ? INTERACTIVE_PROMPT_TOKENS : SHORT_PROMPT_TOKENS);
+    (isInteractive === true
+      ? MAX_INTERACTIVE_PROMPT_TOKENS
+      : MAX_SHORT_PROMPT_TOKENS);
 }
 
 /**
- * Chooses among `candidates`; undefined when there are none, or none that would
- * begin the answer within the target.
+ * Chooses the cheapest of `candidates`; undefined where there are none, or none
+ * that is predicted to begin the answer within the target.
  */
 export function choosePlacement(
   candidates: readonly ListedReplica[],
   needs: PlacementNeeds,
-  knowledge: PlacementKnowledge,
+  context: PlacementContext,
 ): Placement | undefined {
   let best: ScoredPlacement | undefined;
-  for (const each of listPlacements(candidates, needs, knowledge)) {
+  for (const each of listPlacements(candidates, needs, context)) {
     if (best === undefined || each.cost < best.cost) best = each;
   }
   return best?.placement;
 }
 
-/** Where it may go, of `candidates`, to begin the answer within the target. */
+/**
+ * Scores those of `candidates` that are predicted to begin the answer within
+ * the target.
+ */
 export function listPlacements(
   candidates: readonly ListedReplica[],
   needs: PlacementNeeds,
-  knowledge: PlacementKnowledge,
+  context: PlacementContext,
 ): ScoredPlacement[] {
   const loaded = candidates.map((replica) => ({
     replica,
-    load: knowledge.state.loads.getLoad(replica.id),
-    prefillShare: knowledge.state.prefills.getShare(replica.id),
+    load: context.state.loads.getLoad(replica.id),
+    prefillShare: context.state.prefills.getShare(replica.id),
   }));
   const scored = needs.promptTokens > 0
-    ? computePromptScores(loaded, needs, knowledge)
-    : loaded.map((each) => computeCallScore(each, knowledge));
+    ? computePromptScores(loaded, needs, context)
+    : loaded.map((each) => computeCallScore(each, context));
   return scored.filter(({ isOnTime }) => isOnTime);
 }
 
 function computePromptScores(
   loaded: readonly LoadedReplica[],
   needs: PlacementNeeds,
-  knowledge: PlacementKnowledge,
+  context: PlacementContext,
 ): ScoredPlacement[] {
   const split = computeInteractiveSplit(loaded);
-  const suited = listSuited(loaded, needs, split);
-  const { speeds } = knowledge.state;
-  const ownTokens = needs.partTokens.at(-1) ?? 0;
-  // What else a replica would have to read is known only once it is weighed.
-  const inTime = listOnTime(
-    suited,
-    { ownTokens, targetMs: needs.targetMs },
+  const eligible = listEligible(loaded, needs, split);
+  const { speeds } = context.state;
+  const uncachedTokens = needs.partTokens.at(-1) ?? 0;
+  // Which other parts a replica lacks is known only once it is scored.
+  const onTime = listOnTime(
+    eligible,
+    { uncachedTokens, targetMs: needs.targetMs },
     speeds,
   );
   const part = needs.isInteractive ? undefined : needs.parts.at(-2);
-  const holders = listHolders(inTime, part, suited.length);
+  const holders = listHolders(onTime, part, eligible.length);
   const candidates = holders.map(({ replica }) => replica);
-  const preferred = findPreferred(candidates, needs, knowledge.state.prefixes);
-  const prefillWeight = computePrefillWeight(suited);
+  const preferred = findPreferredReplica(
+    candidates,
+    needs,
+    context.state.prefixes,
+  );
+  const prefillWeight = computePrefillWeight(eligible);
   const source = findFetchSource(
     loaded.map(({ replica }) => replica),
     needs,
-    knowledge.state.prefixes,
+    context.state.prefixes,
   );
   return holders.map((each) =>
     computePromptScore(each, {
@@ -170,16 +178,17 @@
       prefillWeight,
       split,
       source,
-      knowledge,
+      context,
     })
   );
 }
 
 /**
- * The replica that is taken to hold a prompt that nobody was seen to send:
- * every VM picks the same one, so that a part is read once and not once a VM.
+ * Replica that is assumed to have cached a prompt that no VM is known to have
+ * sent. All VMs pick the same one, so that a part is prefilled once and not
+ * once per VM.
  */
-function findPreferred(
+function findPreferredReplica(
   candidates: readonly ListedReplica[],
   needs: PlacementNeeds,
   prefixes: PrefixIndex,
@@ -195,6 +204,6 @@
     0,
   );
   const meanTokens = pendingTokens / Math.max(1, loaded.length);
-  const waitingTokens = Math.max(0, meanTokens - CALM_TOKENS);
-  return PREFILL_WEIGHT + waitingTokens / WAITING_PROMPT_TOKENS;
+  const excessTokens = Math.max(0, meanTokens - CALM_QUEUE_TOKENS);
+  return BASE_PREFILL_WEIGHT + excessTokens / QUEUED_PROMPT_TOKENS;
 }
--- a/src/process/placement/placement_source.ts
+++ b/src/process/placement/placement_source.ts
@@ -1,6 +1,6 @@
 /**
- * Slots by the decision of a pool's owner, or by this VM's own while the owner
- * is silent or the fleet is small.
+ * Grants leases on replicas, by the decision of the pool's owner, or of this VM
+ * while the owner does not answer or the fleet is small.
  *
  * @module
  */
@@ -26,36 +26,46 @@
 
 const NO_REPLICA_RETRY_MS = 400;
 /**
- * Callers of a full pool are asked to come back within these shares of the time
- * that they have left: one with more time can let more of a flood pass, and all
- * at once would find it as full. Beyond a third they do not wait.
+ * Callers of a full pool are asked to retry within these shares of their
+ * remaining time: the spread keeps them from finding it as full all at once,
+ * and a caller with more time can let more of a burst pass. Callers do not wait
+ * for more than a third of it.
  */
-const LEAST_RETRY_SHARE = 0.1;
-const MOST_RETRY_SHARE = 0.3;
+const MIN_RETRY_SHARE = 0.1;
+const MAX_RETRY_SHARE = 0.3;
 
-/** A replica, or that none has room; undefined where the VM decides alone. */
+/**
+ * A placement, or that no replica has capacity; undefined where this VM has to
+ * decide itself.
+ */
 export type OwnerDecision = Placement | "full" | undefined;
 
-/** Asks a pool's owner; undefined where this VM is to decide by itself. */
+/**
+ * Requests a placement from the pool's owner; resolves to undefined where this
+ * VM has to decide itself.
+ */
 export type FetchPlacement = (
   request: PlacementRequest,
 ) => Promise<OwnerDecision>;
 
-/** What placing needs. */
+/** Options of `PlacementSource`. */
 export interface PlacementSourceOptions {
   clock: Clock;
   random: Random;
-  /** Where this VM stands. */
+  /** Data centre of this VM. */
   dataCentre: DataCentre;
   directory: ReplicaDirectory;
   locality: Locality;
   state: PlacementState;
   fetchPlacement: FetchPlacement;
-  /** Resolves once what has arrived on this process's sockets was read. */
+  /**
+   * Resolves once the data that has arrived on this process's sockets has been
+   * read.
+   */
   waitForSocketReads: () => Promise<void>;
 }
 
-/** Grants without a queue, or refuses. */
+/** Grants a lease at once, or refuses; it has no queue. */
 export class PlacementSource extends LeaseSource {
   readonly #options: PlacementSourceOptions;
   readonly #chooser: ReplicaChooser;
@@ -81,10 +91,10 @@
   ): Promise<HeldLease> {
     const needs = this.#buildNeeds(request);
     const decision = await this.#options.fetchPlacement(needs);
-    // Time may have passed without the sockets being read, on a VM that is held
-    // up: the caller may have left, and its request must not be sent then.
+    // A VM that was stalled may not have read its sockets for some time: the
+    // caller may have disconnected, and its request must not be sent then.
     await this.#options.waitForSocketReads();
-    if (decision === "full") throw this.#createPoolFull(request, needs);
+    if (decision === "full") throw this.#createPoolFullError(request, needs);
     const placement = decision ?? this.#chooser.choose(needs);
     if (placement === undefined) throw this.#createRefusal(request, needs);
     if (decision === undefined) {
@@ -106,7 +116,7 @@
     );
     return {
       pool: request.pool,
-      // Only this VM is to back off, so that an owner has to be told.
+      // A back-off applies to this VM only, so the owner has to be told of it.
       avoid: [...request.avoid, ...this.#listBackedOff(request.pool)],
       dataCentre: this.#options.dataCentre,
       regions: request.regions,
@@ -114,7 +124,7 @@
       partTokens: request.partTokens ?? [],
       promptTokens: request.promptTokens,
       isInteractive,
-      targetMs: isInteractive ? undefined : chooseTarget(request),
+      targetMs: isInteractive ? undefined : chooseTargetMs(request),
       isSuspect: request.isSuspect,
     };
   }
@@ -126,43 +136,47 @@
   }
 
   #createRefusal(request: LeaseRequest, needs: PlacementRequest): RefusalError {
-    const wanted = { ...needs, avoid: request.avoid };
-    return this.#chooser.hasCandidates(wanted)
-      ? this.#createPoolFull(request, wanted)
-      : createNoReplica();
+    const unfiltered = { ...needs, avoid: request.avoid };
+    return this.#chooser.hasCandidates(unfiltered)
+      ? this.#createPoolFullError(request, unfiltered)
+      : createNoReplicaError();
   }
 
-  #createPoolFull(
+  #createPoolFullError(
     { deadlineAt }: LeaseRequest,
     needs: PlacementRequest,
   ): RefusalError {
     const { clock, random } = this.#options;
     const leftMs = Math.max(0, deadlineAt - clock.now());
-    const spread = (MOST_RETRY_SHARE - LEAST_RETRY_SHARE) * random.next();
-    const spreadMs = leftMs * (LEAST_RETRY_SHARE + spread);
-    const roomMs = this.#chooser.computeRoomWaitMs(needs);
+    const spread = (MAX_RETRY_SHARE - MIN_RETRY_SHARE) * random.next();
+    const spreadMs = leftMs * (MIN_RETRY_SHARE + spread);
+    const capacityWaitMs = this.#chooser.computeCapacityWaitMs(needs);
     return new RefusalError({
       code: "queue_full",
-      message: "No replica of the service has room for more requests now",
+      message: "No replica of the service has capacity for more requests now",
       outcome: "not_run",
       retryAfterMs: Math.round(
-        Number.isFinite(roomMs) ? Math.max(roomMs, spreadMs) : spreadMs,
+        Number.isFinite(capacityWaitMs)
+          ? Math.max(capacityWaitMs, spreadMs)
+          : spreadMs,
       ),
     });
   }
 }
 
-/** Undefined where the prompt takes its turn however late that is. */
-function chooseTarget(
-  { firstOutputMs, clientTimeoutMs: patienceMs, arrivedAt, deadlineAt }:
-    LeaseRequest,
+/**
+ * Target for the first output, in milliseconds; undefined where the prompt must
+ * not be deferred.
+ */
+function chooseTargetMs(
+  { firstOutputMs, clientTimeoutMs, arrivedAt, deadlineAt }: LeaseRequest,
 ): number | undefined {
-  return canBeDeferred(patienceMs, deadlineAt - arrivedAt)
+  return canBeDeferred(clientTimeoutMs, deadlineAt - arrivedAt)
     ? firstOutputMs
     : undefined;
 }
 
-function createNoReplica(): RefusalError {
+function createNoReplicaError(): RefusalError {
   return new RefusalError({
     code: "no_upstream",
     message: "No replica of the service takes new work",
--- a/src/process/placement/placement_state.ts
+++ b/src/process/placement/placement_state.ts
@@ -1,5 +1,6 @@
 /**
- * All that one VM knows of replicas' work, and what it tells the others of it.
+ * What one VM knows of the replicas' work, and the updates on it that VMs
+ * exchange.
  *
  * @module
  */
@@ -24,7 +25,10 @@
 import { ReplicaSpeeds, type SpeedEntry } from "./replica_speed.ts";
 import { SlowStart, type SlowStartOptions } from "./slow_start.ts";
 
-/** What VMs tell each other; all but the loads is told once. */
+/**
+ * Update for the other VMs. Loads and limits are repeated; everything else is
+ * sent once.
+ */
 export interface PlacementUpdate {
   loads: LoadEntry[];
   results: ResultEntry[];
@@ -34,10 +38,10 @@
   limits: RateLimitEntry[];
 }
 
-/** What a state needs. */
+/** Options of `PlacementState`. */
 export interface PlacementStateOptions {
   clock: Clock;
-  /** Hears that there is something to tell. */
+  /** Called when there is an update to send. */
   onUpdate: () => void;
   onEjected: (replica: VmId, forMs: number) => void;
   onBackOff?: OnBackOff;
@@ -60,7 +64,7 @@
   onChange: () => {},
 };
 
-/** The parts that the choice of a replica goes by. */
+/** State that the choice of a replica is based on. */
 export class PlacementState {
   readonly loads: ReplicaLoads;
   readonly health: ReplicaHealth;
@@ -73,14 +77,13 @@
   readonly backOffs: ReplicaBackOffs;
 
   constructor(options: PlacementStateOptions) {
-    const { clock, onUpdate: onNews, onEjected, onBackOff = () => {} } =
-      options;
+    const { clock, onUpdate, onEjected, onBackOff = () => {} } = options;
     const { slowStart = NO_WARM_UP, rateLimits = NO_FLEET } = options;
-    this.loads = ReplicaLoads.create(clock, onNews);
+    this.loads = ReplicaLoads.create(clock, onUpdate);
     this.health = ReplicaHealth.create(clock, (replica, forMs) => {
       this.slowStart.noteFailing(replica, forMs);
       onEjected(replica, forMs);
-      onNews();
+      onUpdate();
     });
     this.speeds = ReplicaSpeeds.create(clock);
     this.prefixes = PrefixIndex.create(clock);
@@ -93,7 +96,7 @@
       ...rateLimits,
       onChange: (replica, requestsPerS) => {
         rateLimits.onChange(replica, requestsPerS);
-        onNews();
+        onUpdate();
       },
     });
   }
@@ -102,50 +105,53 @@
     return new PlacementState(options);
   }
 
-  /** This VM's own loads, and what the others were not told yet. */
+  /**
+   * Takes this VM's own loads, and what it has not sent to the other VMs yet.
+   */
   takeUpdate(): PlacementUpdate {
     return {
       loads: this.loads.listOwn(),
       results: this.health.takeUnsent(),
       speeds: this.speeds.takeUnsent(),
       placements: this.prefixes.takeUnsent(),
-      reads: this.prefixes.takeUnsentReads(),
+      reads: this.prefixes.takeUnsentPrefilled(),
       limits: this.rateLimits.listUpdates(),
     };
   }
 
-  /** Takes in what another VM told. */
-  applyUpdate(vm: VmId, news: PlacementUpdate): void {
-    this.loads.putPeer(vm, news.loads);
-    this.health.notePeerResults(news.results);
-    this.speeds.notePeerSpeeds(news.speeds);
-    this.prefixes.notePeerPlacements(news.placements);
-    this.prefixes.notePeerReads(news.reads);
-    this.rateLimits.applyUpdates(vm, news.limits);
-    for (const [replica, , readTokens] of news.placements) {
+  /** Applies an update from another VM. */
+  applyUpdate(vm: VmId, update: PlacementUpdate): void {
+    this.loads.putPeerLoads(vm, update.loads);
+    this.health.notePeerResults(update.results);
+    this.speeds.notePeerSpeeds(update.speeds);
+    this.prefixes.notePeerPlacements(update.placements);
+    this.prefixes.notePeerPrefilled(update.reads);
+    this.rateLimits.applyUpdates(vm, update.limits);
+    for (const [replica, , prefillTokens] of update.placements) {
       const msPerToken = this.speeds.getMsPerToken(replica);
-      this.prefills.addPrefill(replica, readTokens * msPerToken);
+      this.prefills.addPrefill(replica, prefillTokens * msPerToken);
     }
   }
 
-  /** Whether one more request of this VM's decision may go there now. */
-  hasRoom(replica: ListedReplica): boolean {
-    return this.slowStart.hasRoom(replica) && this.rateLimits.hasRoom(replica);
+  /** Whether this VM may place one more request there now. */
+  hasCapacity(replica: ListedReplica): boolean {
+    return this.slowStart.hasCapacity(replica) &&
+      this.rateLimits.hasCapacity(replica);
   }
 
-  /** A request goes there by this VM's decision. */
+  /** Counts a request that this VM placed there. */
   addSent(replica: ListedReplica): void {
     this.slowStart.addSent(replica);
     this.rateLimits.addSent(replica);
   }
 
-  /** Forgets all of one replica, whose process is another one now. */
+  /** Forgets everything about a replica whose process was replaced. */
   dropReplica(replica: VmId): void {
     this.loads.dropOwn(replica);
     this.dropUnlisted((id) => id !== replica);
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
     this.health.dropUnlisted(isListed);
     this.speeds.dropUnlisted(isListed);
--- a/src/process/placement/prefill_shares.ts
+++ b/src/process/placement/prefill_shares.ts
@@ -1,25 +1,25 @@
 /**
- * How much of its time each replica spent on prefill lately.
+ * Share of its time that each replica recently spent on prefill.
  *
- * A replica reads prompts between the tokens of its running streams, so each
- * prompt makes all of them pause. Where prompts were read lately, more come:
- * replicas that hold their shared parts are chosen for them.
+ * An engine prefills prompts between the decoding steps of its streams, so each
+ * prompt makes all of them pause. Recent prefills predict more of them, since
+ * prompts go to the replicas that hold their shared parts.
  *
  * @module
  */
 import type { VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 
-/** About as long as a stream of a few hundred tokens lasts, in milliseconds. */
+/** About as long as a stream of a few hundred tokens lasts. */
 const TIME_CONSTANT_MS = 2_000;
 
 interface Prefill {
-  /** Milliseconds of prefill, the older the less they count. */
+  /** Milliseconds of prefill, decaying with age. */
   ms: number;
   countedAt: number;
 }
 
-/** Shares of time by replica, 0 to 1 and above where prompts queue. */
+/** Shares of time by replica: 0 to 1, and above 1 where prompts queue. */
 export class PrefillShares {
   readonly #clock: Clock;
   readonly #prefills = new Map<VmId, Prefill>();
@@ -32,7 +32,7 @@
     return new PrefillShares(clock);
   }
 
-  /** Takes in that a prompt was sent whose prefill takes `ms`. */
+  /** Counts a prompt whose prefill takes `ms` milliseconds. */
   addPrefill(replica: VmId, ms: number): void {
     const decayed = this.getShare(replica) * TIME_CONSTANT_MS;
     this.#prefills.set(replica, {
@@ -48,7 +48,7 @@
     return prefill.ms * Math.exp(-age / TIME_CONSTANT_MS) / TIME_CONSTANT_MS;
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
     for (const replica of this.#prefills.keys()) {
       if (!isListed(replica)) this.#prefills.delete(replica);
--- a/src/process/placement/prefix_index.ts
+++ b/src/process/placement/prefix_index.ts
@@ -1,45 +1,49 @@
 /**
- * Which replica has read which parts of prompts, by what VMs sent there.
+ * Which replica has cached which parts of prompts, derived from the prompts
+ * that VMs sent.
  *
  * @module
  */
 import type { VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 
-/** Parts that are remembered; the ones used longest ago go first. */
+/** Parts in the index; the least recently used are evicted first. */
 const MAX_PARTS = 8_000;
-/** A part that was not used for so long counts as gone, in milliseconds. */
-const KEPT_MS = 60_000;
+/** A part that was not used for this long counts as evicted by the replica. */
+const MAX_IDLE_MS = 60_000;
 /**
- * A part that was sent so long ago has been read, in milliseconds, also where
- * nobody has told of it.
+ * A part that was sent this long ago counts as prefilled, even if no VM has
+ * reported it.
  */
-const READ_WITHIN_MS = 1_500;
+const PREFILLED_AFTER_MS = 1_500;
 
-/** A prompt's parts, sent to a replica that has so many tokens to read. */
+/**
+ * Parts of a prompt that was sent to a replica, and how many of its tokens the
+ * replica has to prefill.
+ */
 export type PlacementEntry = [
   replica: VmId,
   parts: string[],
-  readTokens: number,
+  prefillTokens: number,
 ];
 
-/** Shared parts of a prompt that a replica was seen to have read. */
+/** Shared parts of a prompt that a replica has prefilled. */
 export type ReadEntry = [replica: VmId, parts: string[]];
 
-/** A part at one replica; times of `Clock.now()`. */
-interface HeldPart {
+/** A part at one replica; times are those of `Clock.now()`. */
+interface CachedPart {
   sentAt: number;
   usedAt: number;
   /** Whether the replica has sent output after it. */
-  isRead: boolean;
+  isPrefilled: boolean;
 }
 
 /** Parts of prompts by replica. */
 export class PrefixIndex {
   readonly #clock: Clock;
-  readonly #parts = new Map<string, Map<VmId, HeldPart>>();
+  readonly #parts = new Map<string, Map<VmId, CachedPart>>();
   #unsent: PlacementEntry[] = [];
-  #unsentRead: ReadEntry[] = [];
+  #unsentPrefilled: ReadEntry[] = [];
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -49,51 +53,51 @@
     return new PrefixIndex(clock);
   }
 
-  /** Takes in that this VM sent a prompt with these parts to `replica`. */
-  noteSent(replica: VmId, parts: string[], readTokens: number): void {
+  /** Records that this VM sent a prompt with these parts to `replica`. */
+  noteSent(replica: VmId, parts: string[], prefillTokens: number): void {
     if (parts.length === 0) return;
-    this.#unsent.push([replica, parts, readTokens]);
-    this.#note(replica, parts);
+    this.#unsent.push([replica, parts, prefillTokens]);
+    this.#noteParts(replica, parts);
   }
 
-  /** Takes in what another VM sent. */
+  /** Records prompts that another VM sent. */
   notePeerPlacements(entries: readonly PlacementEntry[]): void {
-    for (const [replica, parts] of entries) this.#note(replica, parts);
+    for (const [replica, parts] of entries) this.#noteParts(replica, parts);
   }
 
   /**
-   * Takes in that `replica` has sent output to a prompt with these parts: it
-   * can hand them over from now on. In a flood on empty caches this is a second
-   * sooner than by the time alone, in which each part would be read again at
-   * several replicas.
+   * Records that `replica` has sent output to a prompt with these parts, so
+   * that other replicas can fetch them from now on. On empty caches this is a
+   * second sooner than `PREFILLED_AFTER_MS` alone, and several replicas would
+   * prefill each part again in that second.
    */
-  noteRead(replica: VmId, parts: readonly string[]): void {
+  notePrefilled(replica: VmId, parts: readonly string[]): void {
     const shared = parts.slice(0, -1);
-    if (this.#setRead(replica, shared)) {
-      this.#unsentRead.push([replica, shared]);
+    if (this.#setPrefilled(replica, shared)) {
+      this.#unsentPrefilled.push([replica, shared]);
     }
   }
 
-  /** Takes in what another VM saw. */
-  notePeerReads(entries: readonly ReadEntry[]): void {
-    for (const [replica, parts] of entries) this.#setRead(replica, parts);
+  /** Records prefilled parts that another VM reported. */
+  notePeerPrefilled(entries: readonly ReadEntry[]): void {
+    for (const [replica, parts] of entries) this.#setPrefilled(replica, parts);
   }
 
-  /** What was read that the other VMs have not been told of yet. */
-  takeUnsentReads(): ReadEntry[] {
-    const entries = this.#unsentRead;
-    this.#unsentRead = [];
+  /** Takes the prefilled parts that were not sent to the other VMs yet. */
+  takeUnsentPrefilled(): ReadEntry[] {
+    const entries = this.#unsentPrefilled;
+    this.#unsentPrefilled = [];
     return entries;
   }
 
-  /** Placements that the other VMs have not been told of yet. */
+  /** Takes the placements that were not sent to the other VMs yet. */
   takeUnsent(): PlacementEntry[] {
     const entries = this.#unsent;
     this.#unsent = [];
     return entries;
   }
 
-  /** All that is known, as placements, for a VM that knows nothing. */
+  /** All cached parts as placements, for a VM with an empty index. */
   listAll(): PlacementEntry[] {
     const byReplica = new Map<VmId, string[]>();
     for (const [part, holders] of this.#parts) {
@@ -106,43 +110,46 @@
     return [...byReplica].map(([replica, parts]) => [replica, parts, 0]);
   }
 
-  /** How many of a prompt's first parts `replica` should still have. */
-  countHeld(replica: VmId, parts: readonly string[]): number {
-    return this.#countFirst(replica, parts, () => true);
+  /**
+   * Number of leading parts of a prompt that `replica` should still have
+   * cached.
+   */
+  countCached(replica: VmId, parts: readonly string[]): number {
+    return this.#countLeading(replica, parts, () => true);
   }
 
-  /** The same of parts that it should have read by now. */
-  countRead(replica: VmId, parts: readonly string[]): number {
-    const latest = this.#clock.now() - READ_WITHIN_MS;
-    return this.#countFirst(
+  /** Number of leading parts that `replica` should have prefilled by now. */
+  countPrefilled(replica: VmId, parts: readonly string[]): number {
+    const latest = this.#clock.now() - PREFILLED_AFTER_MS;
+    return this.#countLeading(
       replica,
       parts,
-      (held) => held.isRead || held.sentAt <= latest,
+      (cached) => cached.isPrefilled || cached.sentAt <= latest,
     );
   }
 
-  #countFirst(
+  #countLeading(
     replica: VmId,
     parts: readonly string[],
-    isCounted: (held: HeldPart) => boolean,
+    isCounted: (cached: CachedPart) => boolean,
   ): number {
-    const oldest = this.#clock.now() - KEPT_MS;
+    const oldest = this.#clock.now() - MAX_IDLE_MS;
     let count = 0;
     for (const part of parts) {
-      const held = this.#parts.get(part)?.get(replica);
-      if (held === undefined || held.usedAt < oldest) break;
-      if (!isCounted(held)) break;
+      const cached = this.#parts.get(part)?.get(replica);
+      if (cached === undefined || cached.usedAt < oldest) break;
+      if (!isCounted(cached)) break;
       count += 1;
     }
     return count;
   }
 
-  /** Whether any replica is known to have read the part. */
+  /** Whether any replica is known to have cached the part. */
   hasPart(part: string): boolean {
     return this.#parts.has(part);
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
     for (const [part, holders] of this.#parts) {
       for (const replica of holders.keys()) {
@@ -152,31 +159,35 @@
     }
   }
 
-  /** Says whether that is news: others take it for read soon anyway. */
-  #setRead(replica: VmId, parts: readonly string[]): boolean {
-    const latest = this.#clock.now() - READ_WITHIN_MS;
+  /**
+   * Marks parts as prefilled. Returns whether the other VMs need to know: once
+   * `PREFILLED_AFTER_MS` has passed, they assume it by themselves.
+   */
+  #setPrefilled(replica: VmId, parts: readonly string[]): boolean {
+    const latest = this.#clock.now() - PREFILLED_AFTER_MS;
     let isNew = false;
     for (const part of parts) {
-      const held = this.#parts.get(part)?.get(replica);
-      if (held === undefined || held.isRead) continue;
-      held.isRead = true;
-      isNew ||= held.sentAt > latest;
+      const cached = this.#parts.get(part)?.get(replica);
+      if (cached === undefined || cached.isPrefilled) continue;
+      cached.isPrefilled = true;
+      isNew ||= cached.sentAt > latest;
     }
     return isNew;
   }
 
-  #note(replica: VmId, parts: readonly string[]): void {
+  #noteParts(replica: VmId, parts: readonly string[]): void {
     const now = this.#clock.now();
     for (const part of parts) {
-      const holders = this.#parts.get(part) ?? new Map<VmId, HeldPart>();
+      const holders = this.#parts.get(part) ?? new Map<VmId, CachedPart>();
       const before = holders.get(replica);
-      const isHeld = before !== undefined && now - before.usedAt <= KEPT_MS;
-      // Set anew, so that the map's order is that of the last use.
+      const isCached = before !== undefined &&
+        now - before.usedAt <= MAX_IDLE_MS;
+      // Inserted again to keep the map in order of last use.
       this.#parts.delete(part);
       this.#parts.set(part, holders);
-      const sentAt = isHeld ? before.sentAt : now;
-      const isRead = isHeld && before.isRead;
-      holders.set(replica, { sentAt, usedAt: now, isRead });
+      const sentAt = isCached ? before.sentAt : now;
+      const isPrefilled = isCached && before.isPrefilled;
+      holders.set(replica, { sentAt, usedAt: now, isPrefilled });
     }
     while (this.#parts.size > MAX_PARTS) {
       this.#parts.delete(this.#parts.keys().next().value!);
--- a/src/process/placement/prefix_priming.ts
+++ b/src/process/placement/prefix_priming.ts
@@ -1,11 +1,13 @@
 /**
- * Fills the memory of a VM that has just started with what replicas hold.
+ * Fills the prefix index of a VM that has just started.
  *
- * What VMs know of replicas' caches is lost with them. After all were killed at
- * once, prompts went to replicas that had not read their shared parts, and the
- * prefill of these again kept every answer late for some eight seconds. A VM
- * asks one that knows; where none does, one VM asks the replicas themselves,
- * since each list that they give delays their work.
+ * A VM's prefix index is lost when it stops. After a restart of all VMs at
+ * once, prompts would go to replicas that have not cached their shared parts,
+ * and prefilling these again would make every answer late for some eight
+ * seconds.
+ *
+ * A VM fetches the entries of a VM that has them. Where none has, a single VM
+ * asks the replicas, since listing their caches delays their work.
  *
  * @module
  */
@@ -15,25 +17,28 @@
 import type { Log } from "../log.ts";
 import type { PlacementEntry, PrefixIndex } from "./prefix_index.ts";
 
-/** Other VMs that start at the same time are heard within so long, in ms. */
-const SETTLE_MS = 250;
+/** VMs that start at the same time discover each other within this time. */
+const DISCOVERY_MS = 250;
 const RETRY_MS = 100;
-/** Whom the duty falls to may be dead: then each VM asks for itself. */
-const PATIENCE_MS = 2_000;
+/**
+ * The responsible VM may be dead: after this time every VM asks the replicas
+ * itself.
+ */
+const FALLBACK_AFTER_MS = 2_000;
 
-/** Where the knowledge comes from. */
+/** Sources of index entries. */
 export interface PrimingSources {
-  /** VMs that know, in the order in which they should be asked. */
+  /** VMs with a filled index, in the order in which they should be asked. */
   listPrimedPeers: () => VmId[];
   fetchFromPeer: (vm: VmId) => Promise<PlacementEntry[]>;
   /** Replicas that cache prompts; none before the list is known. */
   listReplicas: () => VmId[];
   fetchFromReplica: (replica: VmId) => Promise<string[]>;
-  /** Whether the duty to ask the replicas is this VM's. */
+  /** Whether this VM is the one that asks the replicas. */
   isResponsible: () => boolean;
 }
 
-/** What priming needs. */
+/** Options of `PrefixPriming`. */
 export interface PrefixPrimingOptions {
   clock: Clock;
   log: Log;
@@ -41,7 +46,7 @@
   sources: PrimingSources;
 }
 
-/** Fills a memory once. */
+/** Fills an index once. */
 export class PrefixPriming {
   readonly #options: PrefixPrimingOptions;
   #isPrimed = false;
@@ -54,19 +59,19 @@
     return new PrefixPriming(options);
   }
 
-  /** Whether other VMs may ask this one. */
+  /** Whether other VMs may fetch entries from this one. */
   get isPrimed(): boolean {
     return this.#isPrimed;
   }
 
-  /** Resolves once the memory is filled, or when `signal` aborts. */
+  /** Resolves once the index is filled, or when `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const { clock, sources } = this.#options;
     while (sources.listReplicas().length === 0 && !signal.aborted) {
       await clock.sleep(RETRY_MS, signal);
     }
     const startedAt = clock.now();
-    await clock.sleep(SETTLE_MS, signal);
+    await clock.sleep(DISCOVERY_MS, signal);
     while (!this.#isPrimed && !signal.aborted) {
       await this.#runOnce(clock.now() - startedAt);
       if (!this.#isPrimed) await clock.sleep(RETRY_MS, signal);
@@ -77,7 +82,7 @@
     const { sources } = this.#options;
     const [peer] = sources.listPrimedPeers();
     if (peer !== undefined) await this.#fetchFromPeer(peer);
-    else if (sources.isResponsible() || waitedMs > PATIENCE_MS) {
+    else if (sources.isResponsible() || waitedMs > FALLBACK_AFTER_MS) {
       await this.#fetchFromReplicas();
     }
   }
@@ -102,7 +107,7 @@
       replicas.map((replica) => this.#fetchFromReplica(replica)),
     );
     const count = fetched.filter((isFetched) => isFetched).length;
-    // Replicas that did not answer are learnt of from requests, as always.
+    // Caches of replicas that did not answer become known through requests.
     this.#end({ from: "replicas", replicas: count });
   }
 
--- a/src/process/placement/replica_back_offs.ts
+++ b/src/process/placement/replica_back_offs.ts
@@ -1,5 +1,5 @@
 /**
- * Replicas that turned this VM's requests away and want none for a time.
+ * Replicas that rejected requests of this VM and asked it to back off.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import type { UpstreamSignals } from "../../request/upstream_signals.ts";
 import type { Clock } from "../clock.ts";
 
-/** Hears that a replica wants nothing from this VM for so long. */
+/** Called when a replica asks this VM to back off for `forMs` milliseconds. */
 export type OnBackOff = (replica: VmId, forMs: number) => void;
 
-/** Until when each replica is left alone. */
+/** End of the back-off of each replica. */
 export class ReplicaBackOffs {
   readonly #clock: Clock;
   readonly #onBackOff: OnBackOff;
-  readonly #until = new Map<VmId, number>();
+  readonly #backOffUntil = new Map<VmId, number>();
 
   constructor(clock: Clock, onBackOff: OnBackOff) {
     this.#clock = clock;
@@ -25,11 +25,13 @@
     return new ReplicaBackOffs(clock, onBackOff);
   }
 
-  /** Takes in an answer of the replica to this VM; the longest time holds. */
+  /**
+   * Applies an answer of the replica to this VM; the longest back-off counts.
+   */
   noteSignals(replica: VmId, { backOffMs }: UpstreamSignals): void {
     if (backOffMs <= this.getRemainingMs(replica)) return;
     const isNew = !this.isBackingOff(replica);
-    this.#until.set(replica, this.#clock.now() + backOffMs);
+    this.#backOffUntil.set(replica, this.#clock.now() + backOffMs);
     if (isNew) this.#onBackOff(replica, backOffMs);
   }
 
@@ -37,23 +39,23 @@
     return this.getRemainingMs(replica) > 0;
   }
 
-  /** Milliseconds for which the replica is left alone; 0 where it is not. */
+  /** Milliseconds left of the replica's back-off; 0 where there is none. */
   getRemainingMs(replica: VmId): number {
-    const until = this.#until.get(replica) ?? -Infinity;
+    const until = this.#backOffUntil.get(replica) ?? -Infinity;
     return Math.max(0, until - this.#clock.now());
   }
 
-  /** Replicas that are left alone now. */
+  /** Replicas with a back-off now. */
   list(): VmId[] {
-    return [...this.#until.keys()].filter((replica) =>
+    return [...this.#backOffUntil.keys()].filter((replica) =>
       this.isBackingOff(replica)
     );
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
-    for (const replica of this.#until.keys()) {
-      if (!isListed(replica)) this.#until.delete(replica);
+    for (const replica of this.#backOffUntil.keys()) {
+      if (!isListed(replica)) this.#backOffUntil.delete(replica);
     }
   }
 }
--- a/src/process/placement/replica_chooser.ts
+++ b/src/process/placement/replica_chooser.ts
@@ -1,5 +1,6 @@
 /**
- * The choice of a replica by what this VM knows, for itself or another VM.
+ * Chooses replicas from the state of this VM, for its own requests or those of
+ * another VM.
  *
  * @module
  */
@@ -16,29 +17,32 @@
 import type { ListedReplica, ReplicaDirectory } from "./replica_list.ts";
 import type { ScoredPlacement } from "./replica_score.ts";
 
-/** Failing replicas are left out while this share of the pool is well. */
-const LEAST_WELL_SHARE = 0.5;
+/** Failing replicas are left out while this share of the pool is healthy. */
+const MIN_HEALTHY_SHARE = 0.5;
 
 /** A request that needs a replica. */
 export interface PlacementRequest extends PlacementNeeds {
   pool: PoolName;
-  /** Replicas that it was sent to before. */
+  /**
+   * Replicas that must not get it: it was sent there before, or they asked the
+   * VM to back off.
+   */
   avoid: VmId[];
-  /** Where the VM stands that will send it. */
+  /** Data centre of the VM that will send it. */
   dataCentre: DataCentre;
-  /** Replicas elsewhere must not get it; undefined where any may. */
+  /** Regions whose replicas may get it; undefined where any may. */
   regions?: Region[] | undefined;
-  /** Whether it may be what crashes replicas. */
+  /** Whether it is suspected of crashing replicas. */
   isSuspect?: boolean | undefined;
 }
 
-/** What the choice needs beside the replicas and what is known of them. */
+/** Options of `ReplicaChooser`. */
 export interface ReplicaChooserOptions {
   locality: Locality;
   random: Random;
 }
 
-/** Chooses among the replicas that are listed. */
+/** Chooses among the listed replicas. */
 export class ReplicaChooser {
   readonly #directory: ReplicaDirectory;
   readonly #state: PlacementState;
@@ -67,29 +71,31 @@
   }
 
   /**
-   * Undefined where no replica takes work. A prompt that none would begin in
-   * time goes where it is read first, behind all that can be in time.
+   * Chooses a replica; undefined where none has capacity. A prompt that no
+   * replica would begin on time is deferred, and goes where it is prefilled
+   * first.
    */
   choose(request: PlacementRequest): Placement | undefined {
-    const withRoom = this.#listCandidates(request)
-      .filter((replica) => this.#state.hasRoom(replica));
-    const onTime = this.#chooseAmong(withRoom, request);
+    const available = this.#listCandidates(request)
+      .filter((replica) => this.#state.hasCapacity(replica));
+    const onTime = this.#chooseFrom(available, request);
     if (onTime !== undefined || request.targetMs === undefined) return onTime;
     const late = { ...request, targetMs: undefined, isDeferred: true };
-    const placement = this.#chooseAmong(withRoom, late);
+    const placement = this.#chooseFrom(available, late);
     return placement && { ...placement, isDeferred: true };
   }
 
-  /** Whether there are replicas that take work, with room or without. */
+  /** Whether any replicas take work, with free capacity or without. */
   hasCandidates(request: PlacementRequest): boolean {
     return this.#listCandidates(request).length > 0;
   }
 
   /**
-   * Milliseconds until the first of the replicas that take work may have room
-   * for this VM by what they ask; infinite where none is known to.
+   * Milliseconds until one of the replicas that take work may have capacity for
+   * this VM, by its rate limit and back-off; infinite where that is not
+   * foreseeable.
    */
-  computeRoomWaitMs(request: PlacementRequest): number {
+  computeCapacityWaitMs(request: PlacementRequest): number {
     const { rateLimits, backOffs } = this.#state;
     const waits = this.#listCandidates(request).map((replica) =>
       Math.max(
@@ -100,10 +106,13 @@
     return Math.min(...waits);
   }
 
-  /** Chooses for ask number `ask` of `vm`, and counts the request from now. */
+  /**
+   * Chooses for placement request `requestNumber` of `vm`, and counts the
+   * request from now on.
+   */
   chooseFor(
     vm: VmId,
-    ask: number,
+    requestNumber: number,
     request: PlacementRequest,
   ): Placement | undefined {
     const placement = this.choose(request);
@@ -118,33 +127,36 @@
       interactive,
     };
     this.#state.addSent(placement.replica);
-    this.#state.loads.unreported.note(vm, ask, { replica, load });
+    this.#state.loads.unreported.add(vm, requestNumber, { replica, load });
     this.#state.prefixes.notePeerPlacements([[replica, request.parts, 0]]);
     return placement;
   }
 
-  #chooseAmong(
+  #chooseFrom(
     candidates: readonly ListedReplica[],
     request: PlacementRequest,
   ): Placement | undefined {
     const { dataCentre } = request;
-    const knowledge = { dataCentre, state: this.#state };
+    const context = { dataCentre, state: this.#state };
     return request.isSuspect
-      ? this.#pickAmong(listPlacements(candidates, request, knowledge))
-      : choosePlacement(candidates, request, knowledge);
+      ? this.#pickRandom(listPlacements(candidates, request, context))
+      : choosePlacement(candidates, request, context);
   }
 
   /**
-   * What was cut by one crash would mostly go to the same best replica, and
-   * would be cut together again: then nothing tells the request that crashes
-   * replicas from those beside it. Spread at random, few are beside it twice.
+   * Requests that were cut off by one crash would mostly go to the same best
+   * replica and be cut off together again, so that nothing would tell the one
+   * that crashes replicas from the others. Spread at random, few are beside it
+   * twice.
    */
-  #pickAmong(scored: readonly ScoredPlacement[]): Placement | undefined {
+  #pickRandom(scored: readonly ScoredPlacement[]): Placement | undefined {
     const placements = scored.map(({ placement }) => placement);
-    const free = placements.filter(({ replica, running }) =>
+    const withFreeSlot = placements.filter(({ replica, running }) =>
       running < replica.slots
     );
-    return this.#options.random.pick(free.length > 0 ? free : placements);
+    return this.#options.random.pick(
+      withFreeSlot.length > 0 ? withFreeSlot : placements,
+    );
   }
 
   #listCandidates(request: PlacementRequest): readonly ListedReplica[] {
@@ -153,12 +165,13 @@
       .filter(({ dataCentre }) =>
         this.#options.locality.isWithin(dataCentre, request.regions)
       );
-    const isUntried = ({ id }: ListedReplica) => !request.avoid.includes(id);
-    const well = ready.filter(({ id }) => !health.isEjected(id));
-    // Where most fail, the cause is likely not theirs; the few that are left
-    // would break down under everybody's work.
-    const isTrusted = well.length >= Math.ceil(ready.length * LEAST_WELL_SHARE);
-    const trusted = isTrusted ? well.filter(isUntried) : [];
-    return trusted.length > 0 ? trusted : ready.filter(isUntried);
+    const isNotAvoided = ({ id }: ListedReplica) => !request.avoid.includes(id);
+    const healthy = ready.filter(({ id }) => !health.isEjected(id));
+    // Where most replicas fail, the cause is probably not theirs, and the few
+    // others would break down under the work of all.
+    const isTrusted =
+      healthy.length >= Math.ceil(ready.length * MIN_HEALTHY_SHARE);
+    const trusted = isTrusted ? healthy.filter(isNotAvoided) : [];
+    return trusted.length > 0 ? trusted : ready.filter(isNotAvoided);
   }
 }
--- a/src/process/placement/replica_health.ts
+++ b/src/process/placement/replica_health.ts
@@ -1,30 +1,32 @@
 /**
- * Which replicas fail, by the results of real requests of all VMs.
+ * Detects failing replicas, by the results of real requests of all VMs.
  *
- * A replica may answer its health check and fail requests, or answer nothing
- * while the platform still lists it. Its failures are the only sign.
+ * A replica may pass its health check and fail requests, or answer nothing
+ * while the platform still lists it. Failed requests are then the only sign.
  *
  * @module
  */
 import type { VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 
-/** Results count half after so long, in milliseconds. */
+/** Half-life of the weight of a result. */
 const HALF_LIFE_MS = 1_500;
-/** Failures of late, by weight, before a replica is left out. */
-const LEAST_FAILURES = 2;
-/** Failed share of late results at which a replica is left out. */
-const FAILED_SHARE = 0.4;
-/** How long it is left out the first time; doubled each time. */
+/** Weight of recent failures at which a replica is ejected. */
+const MIN_FAILURES = 2;
+/** Share of failures in recent results at which a replica is ejected. */
+const EJECTION_FAILED_SHARE = 0.4;
+/** Length of the first ejection; doubled each time. */
 const FIRST_EJECTION_MS = 500;
-const LONGEST_EJECTION_MS = 4_000;
-/** A replica that was well for so long starts at the first step again. */
-const FORGIVEN_AFTER_MS = 10_000;
+const MAX_EJECTION_MS = 4_000;
+/**
+ * A replica that was healthy for this long starts with the first length again.
+ */
+const EJECTION_RESET_MS = 10_000;
 
-/** Results of one replica since the last message. */
+/** Results of one replica since the last update. */
 export type ResultEntry = [replica: VmId, done: number, failed: number];
 
-interface Record {
+interface HealthRecord {
   done: number;
   failed: number;
   countedAt: number;
@@ -32,11 +34,11 @@
   ejections: number;
 }
 
-/** Counts results and leaves failing replicas out for a time. */
+/** Counts results and ejects failing replicas for a time. */
 export class ReplicaHealth {
   readonly #clock: Clock;
   readonly #onEjected: (replica: VmId, forMs: number) => void;
-  readonly #records = new Map<VmId, Record>();
+  readonly #records = new Map<VmId, HealthRecord>();
   #unsent = new Map<VmId, { done: number; failed: number }>();
 
   constructor(
@@ -54,7 +56,7 @@
     return new ReplicaHealth(clock, onEjected);
   }
 
-  /** Takes in the end of one of this VM's own requests. */
+  /** Records the result of one of this VM's own requests. */
   noteResult(replica: VmId, isDone: boolean): void {
     const unsent = this.#unsent.get(replica) ?? { done: 0, failed: 0 };
     this.#unsent.set(replica, unsent);
@@ -63,14 +65,14 @@
     this.#add(replica, isDone ? 1 : 0, isDone ? 0 : 1);
   }
 
-  /** Takes in what another VM told. */
+  /** Records results that another VM reported. */
   notePeerResults(entries: readonly ResultEntry[]): void {
     for (const [replica, done, failed] of entries) {
       this.#add(replica, done, failed);
     }
   }
 
-  /** Results that the other VMs have not been told of yet. */
+  /** Takes the results that were not sent to the other VMs yet. */
   takeUnsent(): ResultEntry[] {
     const entries = [...this.#unsent].map(([replica, { done, failed }]) =>
       [replica, done, failed] as ResultEntry
@@ -79,13 +81,13 @@
     return entries;
   }
 
-  /** Whether the replica is left out now. */
+  /** Whether the replica is ejected now. */
   isEjected(replica: VmId): boolean {
     const record = this.#records.get(replica);
     return record !== undefined && record.ejectedUntil > this.#clock.now();
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
     for (const replica of this.#records.keys()) {
       if (!isListed(replica)) this.#records.delete(replica);
@@ -100,18 +102,19 @@
     if (failed > 0) this.#checkFailures(replica, record);
   }
 
-  #checkFailures(replica: VmId, record: Record): void {
+  #checkFailures(replica: VmId, record: HealthRecord): void {
     const now = this.#clock.now();
     if (record.ejectedUntil > now) return;
     const isRecent = record.ejections > 0 &&
-      now - record.ejectedUntil < FORGIVEN_AFTER_MS;
+      now - record.ejectedUntil < EJECTION_RESET_MS;
     if (!isRecent) record.ejections = 0;
-    // One that was left out of late is on probation: one failure is enough.
-    const least = isRecent ? 1 : LEAST_FAILURES;
+    // A replica that was ejected recently is on probation: one failure is
+    // enough.
+    const needed = isRecent ? 1 : MIN_FAILURES;
     const share = record.failed / (record.failed + record.done);
-    if (record.failed < least * 0.9 || share < FAILED_SHARE) return;
+    if (record.failed < needed * 0.9 || share < EJECTION_FAILED_SHARE) return;
     const forMs = Math.min(
-      LONGEST_EJECTION_MS,
+      MAX_EJECTION_MS,
       FIRST_EJECTION_MS * 2 ** record.ejections,
     );
     record.ejections += 1;
@@ -121,7 +124,7 @@
     this.#onEjected(replica, forMs);
   }
 
-  #getRecord(replica: VmId): Record {
+  #getRecord(replica: VmId): HealthRecord {
     const known = this.#records.get(replica);
     if (known !== undefined) return known;
     const record = {
@@ -135,7 +138,7 @@
     return record;
   }
 
-  #applyAge(record: Record): void {
+  #applyAge(record: HealthRecord): void {
     const now = this.#clock.now();
     const kept = 0.5 ** ((now - record.countedAt) / HALF_LIFE_MS);
     record.done *= kept;
--- a/src/process/placement/replica_list.ts
+++ b/src/process/placement/replica_list.ts
@@ -1,11 +1,11 @@
 /**
- * The replicas of each pool, as the platform publishes them.
+ * Replicas of each pool, as the platform publishes them.
  *
  * @module
  */
 import type { DataCentre, PoolName, VmId } from "../../ids.ts";
 
-/** One replica. It may start again under the same id, with nothing cached. */
+/** One replica. It may restart under the same id, with an empty cache. */
 export interface ListedReplica {
   id: VmId;
   pool: PoolName;
@@ -18,19 +18,19 @@
   /** `draining` takes no new work. */
   state: "ready" | "draining";
   /**
-   * When its process started, in Unix milliseconds of its own clock. Another
-   * value is another incarnation; undefined where it never said.
+   * Start of its process, in Unix milliseconds of its own clock. A different
+   * value is another incarnation; undefined where it has reported none.
    */
   startedAt?: number | undefined;
-  /** What its entry says of its warm-up; undefined once it is warm. */
+  /** Warm-up that its entry reports; undefined once it is warm. */
   warmUp?: ReplicaWarmUp | undefined;
 }
 
-/** A replica's own word on its warm-up. */
+/** Warm-up as the replica itself reports it. */
 export interface ReplicaWarmUp {
-  /** Milliseconds that it lasted on when the entry was written. */
+  /** Milliseconds that were left when the entry was written. */
   leftMs: number;
-  /** Of the entry; the same entry says nothing new. */
+  /** Revision of the entry; the same entry carries nothing new. */
   revision: number;
 }
 
@@ -39,29 +39,32 @@
   revision: number;
   replicas: ListedReplica[];
   /**
-   * Data centres whose replicas are to get nothing new, by the operator's
-   * order; none where it is left out. It is part of the list so that both are
+   * Data centres that the operator has evacuated, whose replicas get nothing
+   * new; none where it is left out. They are part of the list so that both are
    * handed on together and never go back to an older state.
    */
   evacuated?: readonly DataCentre[];
 }
 
-/** Hears that a replica said that it leaves, to this VM or another. */
+/**
+ * Called when a replica has announced, to this VM or another, that it leaves.
+ */
 export type OnLeaving = (replica: VmId) => void;
 
 /**
- * A replica that leaves by its own word, and the revision of the teller's list:
- * a process that was listed or started later has said nothing.
+ * A replica that has announced that it leaves, and the revision of the
+ * reporter's list: the notice does not apply to a process that was listed or
+ * started later.
  */
 export type LeavingEntry = [replica: VmId, revision: number];
 
-/** The newest list that this VM has, with look-ups. */
+/** The newest list that this VM has, indexed by id and by pool. */
 export class ReplicaDirectory {
   #list: ReplicaList = { revision: 0, replicas: [] };
   #byId = new Map<VmId, ListedReplica>();
   #evacuated: ReadonlySet<DataCentre> = new Set();
   #ready = new Map<PoolName, ListedReplica[]>();
-  /** The revision at which each replica was first listed, as this process. */
+  /** Revision at which the current process of each replica was first listed. */
   #listedSince = new Map<VmId, number>();
   readonly #leaving = new Set<VmId>();
   readonly #onLeaving: OnLeaving;
@@ -82,7 +85,7 @@
     return this.#list;
   }
 
-  /** Takes `list` unless an equal or newer one is there. */
+  /** Applies `list`; returns false if an equal or newer one is there. */
   apply(list: ReplicaList): boolean {
     if (list.revision <= this.#list.revision) return false;
     const replicas = list.replicas.map((each) => this.#withStart(each));
@@ -97,12 +100,12 @@
     return true;
   }
 
-  /** Takes in a replica's own word to this VM that it leaves. */
+  /** Records a replica's notice to this VM that it leaves. */
   noteLeaving(id: VmId): void {
     this.notePeerLeaving([[id, this.revision]]);
   }
 
-  /** Takes in what replicas said to other VMs. */
+  /** Records the notices that replicas gave to other VMs. */
   notePeerLeaving(entries: readonly LeavingEntry[]): void {
     const added = entries.filter(([id, revision]) =>
       !this.#leaving.has(id) && this.#isListedAt(id, revision)
@@ -113,7 +116,7 @@
     for (const [id] of added) this.#onLeaving(id);
   }
 
-  /** Replicas that leave by their own word while they are listed as ready. */
+  /** Replicas that have announced that they leave but are listed as ready. */
   listLeaving(): LeavingEntry[] {
     return [...this.#leaving]
       .filter((id) => this.#byId.get(id)?.state === "ready")
@@ -124,7 +127,7 @@
     return this.#byId.get(id);
   }
 
-  /** The pool's replicas that take new work. */
+  /** Replicas of the pool that take new work. */
   listReady(pool: PoolName): readonly ListedReplica[] {
     return this.#ready.get(pool) ?? [];
   }
@@ -142,7 +145,7 @@
     return replica !== undefined && this.#canTakeWork(replica);
   }
 
-  /** An entry without a start says nothing of a new one. */
+  /** Keeps the known start where an entry has none. */
   #withStart(replica: ListedReplica): ListedReplica {
     const startedAt = replica.startedAt ??
       this.#byId.get(replica.id)?.startedAt;
--- a/src/process/placement/replica_loads.ts
+++ b/src/process/placement/replica_loads.ts
@@ -1,10 +1,10 @@
 /**
- * What each replica has in hand: this VM's own work, counted as it is sent,
- * and the other VMs', as they last told.
+ * Load of each replica: this VM's own requests, counted as they are sent, and
+ * those of the other VMs, as last reported.
  *
- * Replicas' own reports lag by some hundred milliseconds, and VMs that read
- * the same report all send to the same replica; what VMs tell each other of
- * their own work is a few milliseconds old.
+ * Reports of the replicas themselves lag by some hundred milliseconds, and VMs
+ * that read the same report all send to the same replica. Reports between VMs
+ * are a few milliseconds old.
  *
  * @module
  */
@@ -18,10 +18,10 @@
   type ReplicaLoad,
 } from "./load_totals.ts";
 
-/** What another VM told is ignored after so long, in milliseconds. */
+/** Reports of other VMs expire after this time. */
 const PEER_LOAD_TTL_MS = 1_500;
 
-/** One replica's load as a VM tells it. */
+/** Load of one replica as a VM reports it. */
 export type LoadEntry = [
   replica: VmId,
   pendingTokens: number,
@@ -34,7 +34,7 @@
 export interface AddedLoad {
   pendingTokens: number;
   isInteractive: boolean;
-  /** Whether it goes behind all that can still be in time. */
+  /** Whether it is prefilled after all prompts that can still be on time. */
   isDeferred?: boolean | undefined;
 }
 
@@ -63,7 +63,9 @@
     load.interactive += this.#interactive;
   }
 
-  /** The prompt has been read: the first output is there. */
+  /**
+   * Removes the tokens of the prompt: with the first output, it is prefilled.
+   */
   noteFirstOutput(): void {
     if (this.#pendingTokens === 0) return;
     this.#load[this.#tokens] -= this.#pendingTokens;
@@ -85,10 +87,12 @@
 export class ReplicaLoads {
   readonly #clock: Clock;
   readonly #own = new Map<VmId, ReplicaLoad>();
-  /** By when they were told; the oldest first. */
+  /** Reports of the other VMs; the oldest first. */
   readonly #peers = new Map<VmId, PeerLoads>();
   readonly #peerTotals = LoadTotals.create();
-  /** Placed here for other VMs and not told by them yet. */
+  /**
+   * Requests placed here for other VMs that their reports do not include yet.
+   */
   readonly unreported: UnreportedLoads;
   readonly #onChange: () => void;
 
@@ -98,7 +102,7 @@
     this.unreported = UnreportedLoads.create(clock);
   }
 
-  /** `onChange` hears of each change of this VM's own work. */
+  /** `onChange` is called on each change of this VM's own load. */
   static create(clock: Clock, onChange: () => void): ReplicaLoads {
     return new ReplicaLoads(clock, onChange);
   }
@@ -122,8 +126,8 @@
     this.#onChange();
   }
 
-  /** Replaces what `vm` told before. */
-  putPeer(vm: VmId, entries: readonly LoadEntry[]): void {
+  /** Replaces the last report of `vm`. */
+  putPeerLoads(vm: VmId, entries: readonly LoadEntry[]): void {
     this.#dropPeer(vm);
     const loads: PeerLoads = {
       notedAt: this.#clock.now(),
@@ -140,26 +144,26 @@
     }
   }
 
-  /** What `vm` told before still holds. */
+  /** Renews the last report of `vm`. */
   notePeerAlive(vm: VmId): void {
     const loads = this.#peers.get(vm);
     if (loads === undefined) return;
-    // Set anew, so that the oldest stay first.
+    // Inserted again to keep the oldest first.
     this.#peers.delete(vm);
     this.#peers.set(vm, { ...loads, notedAt: this.#clock.now() });
   }
 
-  /** Everybody's work at `replica`. */
+  /** Load of all VMs at `replica`. */
   getLoad(replica: VmId): ReplicaLoad {
-    this.#dropOldPeers();
-    const ofOthers = addLoads(
+    this.#dropExpiredPeers();
+    const peerLoad = addLoads(
       this.#peerTotals.get(replica),
       this.unreported.get(replica),
     );
-    return addLoads(this.#own.get(replica) ?? NO_LOAD, ofOthers);
+    return addLoads(this.#own.get(replica) ?? NO_LOAD, peerLoad);
   }
 
-  /** This VM's own work, to be told to the others. */
+  /** This VM's own load, as reported to the others. */
   listOwn(): LoadEntry[] {
     return [...this.#own].map(([replica, load]) => [
       replica,
@@ -170,7 +174,7 @@
     ]);
   }
 
-  #dropOldPeers(): void {
+  #dropExpiredPeers(): void {
     const oldest = this.#clock.now() - PEER_LOAD_TTL_MS;
     for (const [vm, peer] of this.#peers) {
       if (peer.notedAt >= oldest) return;
--- a/src/process/placement/replica_rate_limits.ts
+++ b/src/process/placement/replica_rate_limits.ts
@@ -1,11 +1,10 @@
 /**
- * Keeps the whole fleet within the limits on requests a second that replicas
- * name.
+ * Keeps the whole fleet within the request rate limits that replicas announce.
  *
- * A limit holds for all VMs together. Each VM tells the others of the limits
- * that answers named to it and of how much it has sent; what all have sent
- * counts against one bucket at each VM. Counts are totals, so that a message
- * that is lost or comes twice changes nothing.
+ * A limit applies to all VMs together. Each VM reports to the others the limits
+ * in the answers that it got and how many requests it has sent; the requests of
+ * all VMs are charged to one bucket at each VM. Counts are running totals, so
+ * that lost or repeated messages change nothing.
  *
  * @module
  */
@@ -13,29 +12,29 @@
 import type { PoolName, VmId } from "../../ids.ts";
 import type { UpstreamSignals } from "../../request/upstream_signals.ts";
 import type { Clock } from "../clock.ts";
-import { RequestRate } from "../limits/index.ts";
+import { RequestRateLimiter } from "../limits/index.ts";
 import type { ListedReplica } from "./replica_list.ts";
 import type { PlacementRole } from "./slow_start.ts";
 
-/** Limits that differ by less, as a share of the one before, are not logged. */
-const LOGGED_CHANGE = 0.25;
+/** Smaller changes of a limit, as a share of the last one, are not logged. */
+const MIN_LOGGED_CHANGE = 0.25;
 /**
- * Others are told for so long, in milliseconds, of an answer, of a request and
- * of the end of a limit: a message may be lost.
+ * Answers, requests and the end of a limit are reported for this long, since
+ * messages may be lost.
  */
-const TOLD_FOR_MS = 2_000;
+const REPORT_FOR_MS = 2_000;
 /**
- * The part of a limit that VMs share that hear no owner. They hear nothing of
- * what owners send, either.
+ * Share of a limit for all VMs that reach no owner. They do not learn what
+ * owners send, either.
  */
-const ALONE_PART = 0.2;
+const ISOLATED_SHARE = 0.2;
 const NO_LIMIT = -1;
 const NEVER = -1;
 
 /**
- * What a VM tells of one replica: the limit that its last answer named and how
- * many milliseconds ago (below 0 for none, or never), and how many requests the
- * VM has sent there under limits.
+ * What a VM reports of one replica: the limit in its last answer (below 0 for
+ * none), how many milliseconds ago the answer came (below 0 for never), and how
+ * many requests the VM has sent there under limits.
  */
 export type RateLimitEntry = [
   replica: VmId,
@@ -44,40 +43,42 @@
   sent: number,
 ];
 
-/** Hears that a replica names a limit or none, in requests a second. */
+/**
+ * Called with a replica's new limit in requests per second; undefined for none.
+ */
 export type OnRateLimit = (
   replica: VmId,
   requestsPerS: number | undefined,
 ) => void;
 
-/** What keeping to limits goes by. */
+/** Options of `ReplicaRateLimits`. */
 export interface ReplicaRateLimitsOptions {
   clock: Clock;
   onChange: OnRateLimit;
   getRole: (pool: PoolName) => PlacementRole;
-  /** Other VMs that are heard now. */
+  /** Number of other VMs that are reachable now. */
   countReachable: () => number;
 }
 
-interface Record {
-  rate: RequestRate;
+interface ReplicaLimit {
+  limiter: RequestRateLimiter;
   /** When its last limit ended. */
   endedAt: number;
-  /** What its last answer to this VM named, and when that came. */
-  own: { requestsPerS: number; at: number } | undefined;
-  /** Requests sent by this VM's decision, and when the last one was. */
+  /** Limit in its last answer to this VM, and when the answer came. */
+  lastAnswer: { requestsPerS: number; at: number } | undefined;
+  /** Requests that this VM placed there, and when it placed the last one. */
   sent: number;
   sentAt: number;
-  /** The same of other VMs, as they told. */
+  /** Requests of the other VMs, as they reported them. */
   sentByPeers: Map<VmId, number>;
-  /** The limit that was logged last; infinite for none. */
+  /** Limit that was logged last; infinite for none. */
   loggedPerS: number;
 }
 
-/** Limits by replica, and what was sent under them. */
+/** Limits by replica, and the requests sent under them. */
 export class ReplicaRateLimits {
   readonly #options: ReplicaRateLimitsOptions;
-  readonly #records = new Map<VmId, Record>();
+  readonly #limits = new Map<VmId, ReplicaLimit>();
 
   constructor(options: ReplicaRateLimitsOptions) {
     this.#options = options;
@@ -87,128 +88,140 @@
     return new ReplicaRateLimits(options);
   }
 
-  /** Takes in an answer of the replica to this VM. */
+  /** Applies an answer of the replica to this VM. */
   noteSignals(replica: VmId, { requestsPerS }: UpstreamSignals): void {
     if (requestsPerS === undefined) return;
     const now = this.#options.clock.now();
     const record = this.#noteLimit(replica, requestsPerS, now);
-    record.own = { requestsPerS, at: now };
+    record.lastAnswer = { requestsPerS, at: now };
   }
 
-  /** Whether one more request of this VM's decision may go there now. */
-  hasRoom(replica: ListedReplica): boolean {
+  /** Whether this VM may place one more request there now. */
+  hasCapacity(replica: ListedReplica): boolean {
     return this.computeWaitMs(replica) === 0;
   }
 
   /**
-   * Milliseconds until a request of this VM's decision may go there; infinite
-   * where it has none to send.
+   * Milliseconds until this VM may place a request there; infinite where it has
+   * no share of the limit.
    */
   computeWaitMs({ id, pool }: ListedReplica): number {
-    const rate = this.#records.get(id)?.rate;
-    if (rate?.limit === undefined) return 0;
+    const limiter = this.#limits.get(id)?.limiter;
+    if (limiter?.limit === undefined) return 0;
     const now = this.#options.clock.now();
-    return rate.computeWaitMs(now, this.#computeShare(pool));
+    return limiter.computeWaitMs(now, this.#computeShare(pool));
   }
 
-  /** A request goes there by this VM's decision. */
+  /** Counts a request that this VM placed there. */
   addSent({ id }: ListedReplica): void {
-    const record = this.#records.get(id);
-    if (record?.rate.limit === undefined) return;
-    record.rate.take(1);
+    const record = this.#limits.get(id);
+    if (record?.limiter.limit === undefined) return;
+    record.limiter.take(1);
     record.sent += 1;
     record.sentAt = this.#options.clock.now();
   }
 
-  /** Requests a second that the replica takes; undefined for any number. */
+  /**
+   * Requests per second that the replica accepts; undefined without a limit.
+   */
   getLimit(replica: VmId): number | undefined {
-    return this.#records.get(replica)?.rate.limit;
+    return this.#limits.get(replica)?.limiter.limit;
   }
 
-  /** What the others are to know. */
+  /** Entries for the other VMs. */
   listUpdates(): RateLimitEntry[] {
     const now = this.#options.clock.now();
-    return [...this.#records]
-      .filter(([, record]) => isNews(record, now))
+    return [...this.#limits]
+      .filter(([, record]) => isReportable(record, now))
       .map(([replica, record]) => buildEntry(replica, record, now));
   }
 
-  /** Takes in what another VM told. */
+  /** Applies the entries of another VM. */
   applyUpdates(vm: VmId, entries: readonly RateLimitEntry[]): void {
     const now = this.#options.clock.now();
     for (const [replica, requestsPerS, ageMs, sent] of entries) {
       if (ageMs !== NEVER) {
-        const named = requestsPerS === NO_LIMIT ? Infinity : requestsPerS;
-        this.#noteLimit(replica, named, now - ageMs);
+        const limit = requestsPerS === NO_LIMIT ? Infinity : requestsPerS;
+        this.#noteLimit(replica, limit, now - ageMs);
       }
       this.#notePeerSent(vm, replica, sent);
     }
   }
 
-  /** Forgets replicas that are not listed any more. */
+  /** Forgets replicas that are no longer listed. */
   dropUnlisted(isListed: (replica: VmId) => boolean): void {
-    for (const replica of this.#records.keys()) {
-      if (!isListed(replica)) this.#records.delete(replica);
+    for (const replica of this.#limits.keys()) {
+      if (!isListed(replica)) this.#limits.delete(replica);
     }
   }
 
-  /** The replica's last answer holds, whichever VM it came to. */
-  #noteLimit(replica: VmId, requestsPerS: number, namedAt: number): Record {
+  /**
+   * Applies the limit in an answer. The replica's newest answer counts,
+   * whichever VM it went to.
+   */
+  #noteLimit(
+    replica: VmId,
+    requestsPerS: number,
+    announcedAt: number,
+  ): ReplicaLimit {
     const now = this.#options.clock.now();
-    const record = this.#records.get(replica) ?? buildRecord(now);
-    this.#records.set(replica, record);
-    const { rate } = record;
-    const wasLimited = rate.limit !== undefined;
-    rate.noteLimit(requestsPerS, namedAt);
-    if (wasLimited && rate.limit === undefined) record.endedAt = now;
-    this.#announce(replica, record);
+    const record = this.#limits.get(replica) ?? buildReplicaLimit(now);
+    this.#limits.set(replica, record);
+    const { limiter } = record;
+    const wasLimited = limiter.limit !== undefined;
+    limiter.noteLimit(requestsPerS, announcedAt);
+    if (wasLimited && limiter.limit === undefined) record.endedAt = now;
+    this.#noteChange(replica, record);
     return record;
   }
 
-  #announce(replica: VmId, record: Record): void {
-    const { loggedPerS, rate } = record;
-    const perS = rate.limit ?? Infinity;
-    const isKnown = perS === loggedPerS ||
-      Math.abs(perS - loggedPerS) < LOGGED_CHANGE * loggedPerS;
-    if (isKnown) return;
+  #noteChange(replica: VmId, record: ReplicaLimit): void {
+    const { loggedPerS, limiter } = record;
+    const perS = limiter.limit ?? Infinity;
+    const isLogged = perS === loggedPerS ||
+      Math.abs(perS - loggedPerS) < MIN_LOGGED_CHANGE * loggedPerS;
+    if (isLogged) return;
     record.loggedPerS = perS;
-    this.#options.onChange(replica, rate.limit);
+    this.#options.onChange(replica, limiter.limit);
   }
 
-  /** The first total that is heard tells nothing of when it was sent. */
+  /**
+   * Charges the requests that `vm` sent since its last report. Its first report
+   * is only a starting point: it does not say when the requests were sent.
+   */
   #notePeerSent(vm: VmId, replica: VmId, sent: number): void {
-    const record = this.#records.get(replica);
+    const record = this.#limits.get(replica);
     if (record === undefined) return;
     const before = record.sentByPeers.get(vm) ?? sent;
     record.sentByPeers.set(vm, sent);
-    // A VM that has started again counts from 0.
-    record.rate.take(sent < before ? sent : sent - before);
+    // A VM that has restarted counts from 0.
+    record.limiter.take(sent < before ? sent : sent - before);
   }
 
   /**
-   * The part of a limit that this VM counts against: with those that it hears
-   * it has the part that they are of all VMs, since those that are cut off from
-   * them may use the rest.
+   * Share of a limit that this VM charges requests to. VMs that reach each
+   * other together have a share in proportion to their number, since those cut
+   * off from them may use the rest.
    */
   #computeShare(pool: PoolName): number {
-    const { getRole: getShare, countReachable: countHeard } = this.#options;
-    const { role, others } = getShare(pool);
-    const known = 1 + others.length;
-    const heardPart = Math.min(1, (1 + countHeard()) / known);
+    const { getRole, countReachable } = this.#options;
+    const { role, others } = getRole(pool);
+    const fleetSize = 1 + others.length;
+    const reachableShare = Math.min(1, (1 + countReachable()) / fleetSize);
     return match(role)
-      .with("owner", () => (1 - ALONE_PART) * heardPart)
-      .with("alone", () => ALONE_PART / known)
-      .with("equal", () => heardPart)
+      .with("owner", () => (1 - ISOLATED_SHARE) * reachableShare)
+      .with("alone", () => ISOLATED_SHARE / fleetSize)
+      .with("equal", () => reachableShare)
       .with("unsettled", () => 0)
       .exhaustive();
   }
 }
 
-function buildRecord(now: number): Record {
+function buildReplicaLimit(now: number): ReplicaLimit {
   return {
-    rate: RequestRate.create(now),
+    limiter: RequestRateLimiter.create(now),
     endedAt: -Infinity,
-    own: undefined,
+    lastAnswer: undefined,
     sent: 0,
     sentAt: -Infinity,
     sentByPeers: new Map(),
@@ -216,20 +229,23 @@
   };
 }
 
-function isNews({ rate, endedAt, own, sentAt }: Record, now: number): boolean {
-  const since = now - TOLD_FOR_MS;
-  const isLimited = rate.limit !== undefined || endedAt > since;
-  const isActive = sentAt > since || (own?.at ?? -Infinity) > since;
+function isReportable(
+  { limiter, endedAt, lastAnswer, sentAt }: ReplicaLimit,
+  now: number,
+): boolean {
+  const since = now - REPORT_FOR_MS;
+  const isLimited = limiter.limit !== undefined || endedAt > since;
+  const isActive = sentAt > since || (lastAnswer?.at ?? -Infinity) > since;
   return isLimited && isActive;
 }
 
 function buildEntry(
   replica: VmId,
-  { own, sent }: Record,
+  { lastAnswer, sent }: ReplicaLimit,
   now: number,
 ): RateLimitEntry {
-  if (own === undefined) return [replica, NO_LIMIT, NEVER, sent];
-  const { requestsPerS, at } = own;
-  const named = requestsPerS === Infinity ? NO_LIMIT : requestsPerS;
-  return [replica, named, Math.round(now - at), sent];
+  if (lastAnswer === undefined) return [replica, NO_LIMIT, NEVER, sent];
+  const { requestsPerS, at } = lastAnswer;
+  const limit = requestsPerS === Infinity ? NO_LIMIT : requestsPerS;
+  return [replica, limit, Math.round(now - at), sent];
 }
--- a/src/process/placement/replica_score.ts
+++ b/src/process/placement/replica_score.ts
@@ -1,13 +1,13 @@
 /**
- * What it costs to send a request to one replica, by what is known of loads,
- * speeds and cached parts of prompts.
+ * Cost of sending a request to a replica, from loads, speeds and cached parts
+ * of prompts.
  *
  * @module
  */
 import type { VmId } from "../../ids.ts";
 import {
-  computeFetched,
-  computeTokens,
+  computeFetchedTokens,
+  computeTotalTokens,
   type FetchSource,
 } from "./fetch_source.ts";
 import {
@@ -17,80 +17,88 @@
 } from "./interactive_replicas.ts";
 import { countTokens } from "./load_totals.ts";
 import { isOnTime } from "./on_time.ts";
-import { computePauses } from "./pause_cost.ts";
+import { computePauseCostMs } from "./pause_cost.ts";
 import type {
   Placement,
-  PlacementKnowledge,
+  PlacementContext,
   PlacementNeeds,
 } from "./placement_choice.ts";
 import type { ListedReplica } from "./replica_list.ts";
 
-/** One more running request slows the others by about so much, in ms. */
-const RUNNING_MS = 0.5;
+/** How much one more running request slows down the others. */
+const RUNNING_REQUEST_COST_MS = 0.5;
 /**
- * Beyond this share of its slots a replica counts as filling up: what other
- * VMs send at the same moment is not known yet.
+ * Beyond this share of its slots a replica counts as crowded: requests that
+ * other VMs are sending at the same moment are not known yet.
  */
-const FILLING_SHARE = 0.7;
+const CROWDED_SHARE = 0.7;
 /**
- * A token that another replica hands over takes about so much of the time of
- * one that is read, and holds nobody up: the engine goes on meanwhile.
+ * Cost of a fetched token against that of a prefilled one. A fetch delays no
+ * other request: the engine goes on meanwhile.
  */
 const FETCH_WEIGHT = 0.25;
 /**
- * A stream of some hundred tokens lasts so long beside others, in milliseconds:
- * a replica whose slots are full frees one each so many milliseconds by slots.
+ * Duration of a stream of some hundred tokens beside others: a full replica
+ * frees one of its slots every `TYPICAL_STREAM_MS / slots`.
  */
-const LONG_RUN_MS = 5_000;
-/** A full plain replica is as good as one so many milliseconds slower. */
-const FULL_MS = 100;
-/** Each way between data centres, about; also worth its price in bytes. */
-const OTHER_DATA_CENTRE_MS = 2;
+const TYPICAL_STREAM_MS = 5_000;
+/** A full replica of a plain service costs as much as one this much slower. */
+const FULL_REPLICA_COST_MS = 100;
+/**
+ * Approximate one-way latency between data centres; also stands for the price
+ * of the traffic.
+ */
+const CROSS_DATA_CENTRE_MS = 2;
 
-/** A replica that a request might go to. */
+/** A replica that a request may be sent to. */
 export interface ScoredPlacement {
   placement: Placement;
-  /** In milliseconds; the least is chosen. */
+  /** In milliseconds; the lowest is chosen. */
   cost: number;
-  /** Whether its first output is predicted within the target. */
+  /** Whether the first output is predicted within the target. */
   isOnTime: boolean;
 }
 
-/** What a prompt would find at a replica, and what it would cost there. */
+/** Scores a replica for a prompt. */
 export function computePromptScore(
   each: LoadedReplica,
-  context: {
+  inputs: {
     needs: PlacementNeeds;
     preferred: VmId | undefined;
     prefillWeight: number;
     split: InteractiveSplit;
     source: FetchSource | undefined;
-    knowledge: PlacementKnowledge;
+    context: PlacementContext;
   },
 ): ScoredPlacement {
   const { replica, load } = each;
-  const { needs, preferred, prefillWeight, split, source, knowledge } = context;
-  const msPerToken = knowledge.state.speeds.getMsPerToken(replica.id);
-  const held = knowledge.state.prefixes.countHeld(replica.id, needs.parts);
-  const heldTokens = computeTokens(needs.partTokens.slice(0, held));
-  const ownTokens = Math.max(0, needs.promptTokens - heldTokens);
+  const { needs, preferred, prefillWeight, split, source, context } = inputs;
+  const msPerToken = context.state.speeds.getMsPerToken(replica.id);
+  const cachedParts = context.state.prefixes.countCached(
+    replica.id,
+    needs.parts,
+  );
+  const cachedTokens = computeTotalTokens(
+    needs.partTokens.slice(0, cachedParts),
+  );
+  const ownTokens = Math.max(0, needs.promptTokens - cachedTokens);
   const isPreferred = preferred === replica.id;
-  const fetchedTokens = computeFetched(source, replica.id, heldTokens);
-  const toRead = ownTokens - fetchedTokens;
-  const readTokens = isPreferred
+  const fetchedTokens = computeFetchedTokens(source, replica.id, cachedTokens);
+  const prefillTokens = ownTokens - fetchedTokens;
+  const chargedTokens = isPreferred
     ? needs.partTokens.at(-1) ?? ownTokens
-    : toRead;
+    : prefillTokens;
   const tokensAhead = needs.isDeferred ? countTokens(load) : load.pendingTokens;
   const waitMs = tokensAhead * msPerToken;
-  const prefillMs = readTokens * msPerToken;
+  const chargedMs = chargedTokens * msPerToken;
   const fetchMs = FETCH_WEIGHT * fetchedTokens * msPerToken;
-  const ownMs = (ownTokens - fetchedTokens) * msPerToken;
-  const pauseMs = isKeptFor(replica.id, needs, split)
+  const prefillMs = (ownTokens - fetchedTokens) * msPerToken;
+  const pauseMs = isReservedFor(replica.id, needs, split)
     ? 0
-    : computePauses(each, needs.isInteractive, prefillMs);
-  const cost = waitMs + prefillWeight * prefillMs + fetchMs + pauseMs +
-    RUNNING_MS * load.running + computeFilling(each) +
-    computeDistance(replica, knowledge);
+    : computePauseCostMs(each, needs.isInteractive, chargedMs);
+  const cost = waitMs + prefillWeight * chargedMs + fetchMs + pauseMs +
+    RUNNING_REQUEST_COST_MS * load.running + computeCrowdingMs(each) +
+    computeDistanceMs(replica, context);
   return {
     placement: {
       replica,
@@ -99,16 +107,16 @@
       fetchedTokens,
       fetchFrom: fetchedTokens > 0 ? source?.endpoint : undefined,
       running: load.running,
-      predictedMs: waitMs + ownMs,
+      predictedMs: waitMs + prefillMs,
     },
     cost,
     isOnTime: needs.targetMs === undefined ||
-      isOnTime({ waitMs, ownMs }, needs.targetMs),
+      isOnTime({ waitMs, prefillMs }, needs.targetMs),
   };
 }
 
-/** Whether what is placed there runs beside its like alone. */
-function isKeptFor(
+/** Whether the request runs only beside requests of its own kind there. */
+function isReservedFor(
   replica: VmId,
   { isInteractive }: PlacementNeeds,
   split: InteractiveSplit,
@@ -117,13 +125,13 @@
   return !isInteractive || split.forInteractive.has(replica);
 }
 
-/** The same of a call without a prompt. */
+/** Scores a replica for a call without a prompt. */
 export function computeCallScore(
   { replica, load }: LoadedReplica,
-  knowledge: PlacementKnowledge,
+  context: PlacementContext,
 ): ScoredPlacement {
-  const cost = FULL_MS * load.running / replica.slots +
-    computeDistance(replica, knowledge);
+  const cost = FULL_REPLICA_COST_MS * load.running / replica.slots +
+    computeDistanceMs(replica, context);
   return {
     placement: {
       replica,
@@ -139,19 +147,19 @@
 }
 
 /**
- * What requests beyond the filling share cost, in milliseconds: each waits for
- * one more run to end. When a replica crashes all its streams look for another
- * one at once; without this all would choose the same, and most would wait
- * there for a slot or be turned away.
+ * Cost of requests beyond the crowded share, in milliseconds: each waits for
+ * one more running request to end. When a replica crashes, all its streams look
+ * for another one at once; without this cost, all would choose the same one,
+ * and most would wait there for a slot or be rejected.
  */
-function computeFilling({ replica, load }: LoadedReplica): number {
-  const beyond = load.running - FILLING_SHARE * replica.slots;
-  return Math.max(0, beyond) * LONG_RUN_MS / replica.slots;
+function computeCrowdingMs({ replica, load }: LoadedReplica): number {
+  const excess = load.running - CROWDED_SHARE * replica.slots;
+  return Math.max(0, excess) * TYPICAL_STREAM_MS / replica.slots;
 }
 
-function computeDistance(
+function computeDistanceMs(
   replica: ListedReplica,
-  knowledge: PlacementKnowledge,
+  context: PlacementContext,
 ): number {
-  return replica.dataCentre === knowledge.dataCentre ? 0 : OTHER_DATA_CENTRE_MS;
+  return replica.dataCentre === context.dataCentre ? 0 : CROSS_DATA_CENTRE_MS;
 }
--- a/src/process/placement/slow_start.ts
+++ b/src/process/placement/slow_start.ts
@@ -1,18 +1,16 @@
 /**
- * How many requests a replica gets while it warms up.
+ * Limits the requests to a replica that warms up.
  *
- * Pattern: replicas come back in the midst of a flood, after a crash, at the
- * end of an evacuation, or added to a pool. They look empty, so everybody's
- * next requests go there. One that has just started bears some six a second and
- * may fall over well above that, and then its work goes to the others. One
- * notices by requests at a replica in the second after it came back: 16 to 19,
- * where 14 are the most.
+ * Replicas that come back under load, after a crash or an evacuation, or that
+ * are added to a pool, look idle, so all VMs send their next requests there. A
+ * replica that has just started sustains about six requests a second; well
+ * above that it may crash, and its work goes to the others.
  *
- * Why this prevents it: what the whole fleet may send to such a replica in a
- * second is dealt out beforehand. A pool's owner, who decides for all, spaces
- * its requests. Its substitute may do the same in the second in which it takes
- * over, and VMs that hear neither keep to a part that holds for all of them
- * together though nobody hears anybody.
+ * Therefore the rate that the whole fleet may send to such a replica is divided
+ * in advance. The owner of a pool, which decides for all VMs, spaces its
+ * requests. Its substitute may do the same in the second in which it takes
+ * over, and VMs that reach neither keep to a share that holds for all of them
+ * together without any messages between them.
  *
  * @module
  */
@@ -23,44 +21,52 @@
 import type { ListedReplica, ReplicaList } from "./replica_list.ts";
 
 /**
- * Parts of the requests that a replica bears in any second. An owner and the
- * substitute that takes its place may both send within one second; the VMs that
- * hear neither share the rest. Their parts add up to one.
+ * Shares of the requests that a replica may be sent in any second. An owner and
+ * the substitute that replaces it may both send within one second, and the VMs
+ * that reach neither have the rest: the three shares add up to one.
  */
-const OWNER_PART = 0.4;
-const ALONE_PART = 0.2;
+const OWNER_SHARE = 0.4;
+const ISOLATED_SHARE = 0.2;
 /**
- * Where a fleet needs no owners, all VMs share this part: a request may reach a
- * replica some hundred milliseconds after it was sent, next to later ones.
+ * Share of all VMs together in a fleet that needs no owners. The rest is a
+ * margin: a request may arrive some hundred milliseconds after it was sent,
+ * together with later ones.
  */
-const NO_OWNER_PART = 0.8;
+const NO_OWNER_SHARE = 0.8;
 const MS_PER_SECOND = 1_000;
 
-/** Who decides beside this VM. */
+/** Role of this VM in placing the requests of a pool. */
 export interface PlacementRole {
   /**
-   * `owner` decides for all, `alone` beside owners, `equal` without any; one
-   * that is `unsettled` has not heard of the others yet.
+   * `owner` decides for all VMs, `alone` decides for itself beside owners,
+   * `equal` decides in a fleet without owners, and `unsettled` has not
+   * discovered the other VMs yet.
    */
   role: "owner" | "alone" | "equal" | "unsettled";
-  /** The other VMs of the fleet, silent ones included. */
+  /** The other VMs of the fleet, including unreachable ones. */
   others: readonly VmId[];
 }
 
-/** How many more requests than it bears a replica may be sent in a second. */
+/**
+ * How far the requests sent to a replica in a second may exceed the rate that
+ * it sustains.
+ */
 export interface WarmUpExcess {
-  /** Times the requests that it bears. */
+  /** Factor on the sustained rate. */
   ratio: number;
-  /** Requests beyond that. */
+  /** Requests per second on top of that. */
   slack: number;
 }
 
-/** What a slow start goes by. */
+/** Options of `SlowStart`. */
 export interface SlowStartOptions {
   vm: VmId;
   clock: Clock;
   excess: WarmUpExcess;
-  /** What a pool's replicas bear; undefined where they need no warm-up. */
+  /**
+   * Warm-up and sustained rate of a pool's replicas; undefined where they need
+   * no warm-up.
+   */
   getWarmUp: (pool: PoolName) => WarmUp | undefined;
   getRole: (pool: PoolName) => PlacementRole;
 }
@@ -69,13 +75,16 @@
 export class SlowStart {
   readonly #options: SlowStartOptions;
   /** Until when a replica is cold by its own entry, as `Clock.now()`. */
-  readonly #toldUntil = new Map<VmId, number>();
-  /** Revisions of the entries that said so: a list is often read again. */
-  readonly #readRevisions = new Map<VmId, number>();
-  /** When a replica may have started again at the latest. */
-  readonly #downUntil = new Map<VmId, number>();
-  /** When the next request may go to a replica. */
-  readonly #nextAt = new Map<VmId, number>();
+  readonly #announcedUntil = new Map<VmId, number>();
+  /**
+   * Revisions of the entries applied so far: the same entry is often read
+   * again.
+   */
+  readonly #appliedRevisions = new Map<VmId, number>();
+  /** Latest time at which a replica may have restarted. */
+  readonly #restartedBy = new Map<VmId, number>();
+  /** When the next request may be sent to a replica. */
+  readonly #nextSendAt = new Map<VmId, number>();
   #evacuated: ReadonlySet<DataCentre> = new Set();
 
   constructor(options: SlowStartOptions) {
@@ -86,7 +95,10 @@
     return new SlowStart(options);
   }
 
-  /** Takes in what entries say, and which data centres are back. */
+  /**
+   * Applies the warm-ups in the list, and notes which data centres are back
+   * from an evacuation.
+   */
   noteList({ replicas, evacuated }: ReplicaList): void {
     const now = this.#options.clock.now();
     const before = this.#evacuated;
@@ -95,79 +107,80 @@
       before.has(dataCentre) && !this.#evacuated.has(dataCentre);
     for (const replica of replicas) {
       this.#noteEntry(replica);
-      if (isBack(replica.dataCentre)) this.#downUntil.set(replica.id, now);
+      if (isBack(replica.dataCentre)) this.#restartedBy.set(replica.id, now);
     }
     this.#dropUnlisted(new Set(replicas.map(({ id }) => id)));
   }
 
   /**
-   * A replica fails its requests for now. It may have crashed, and may start
-   * again before its entry says so: entries are seconds apart.
+   * Records that a replica fails its requests for `forMs` milliseconds. It may
+   * have crashed, and may restart before its entry shows it: entries are
+   * seconds apart.
    */
   noteFailing(replica: VmId, forMs: number): void {
-    this.#downUntil.set(replica, this.#options.clock.now() + forMs);
+    this.#restartedBy.set(replica, this.#options.clock.now() + forMs);
   }
 
   isWarming(replica: ListedReplica): boolean {
     const warmUp = this.#options.getWarmUp(replica.pool);
     if (warmUp === undefined) return false;
-    const downUntil = this.#downUntil.get(replica.id) ?? -Infinity;
-    const toldUntil = this.#toldUntil.get(replica.id) ?? -Infinity;
+    const restartedBy = this.#restartedBy.get(replica.id) ?? -Infinity;
+    const announcedUntil = this.#announcedUntil.get(replica.id) ?? -Infinity;
     const now = this.#options.clock.now();
-    return now < Math.max(toldUntil, downUntil + warmUp.ms);
+    return now < Math.max(announcedUntil, restartedBy + warmUp.ms);
   }
 
-  /** Whether one more request of this VM's decision may go there now. */
-  hasRoom(replica: ListedReplica): boolean {
+  /** Whether this VM may place one more request there now. */
+  hasCapacity(replica: ListedReplica): boolean {
     if (!this.isWarming(replica)) return true;
     const now = this.#options.clock.now();
-    if (now < (this.#nextAt.get(replica.id) ?? -Infinity)) return false;
+    if (now < (this.#nextSendAt.get(replica.id) ?? -Infinity)) return false;
     return this.#computeGapMs(replica) !== undefined;
   }
 
-  /** A request goes there by this VM's decision. */
+  /** Counts a request that this VM placed there. */
   addSent(replica: ListedReplica): void {
     if (!this.isWarming(replica)) return;
     const gapMs = this.#computeGapMs(replica) ?? MS_PER_SECOND;
-    this.#nextAt.set(replica.id, this.#options.clock.now() + gapMs);
+    this.#nextSendAt.set(replica.id, this.#options.clock.now() + gapMs);
   }
 
   #noteEntry({ id, warmUp }: ListedReplica): void {
     if (warmUp === undefined) return;
-    if (this.#readRevisions.get(id) === warmUp.revision) return;
-    this.#readRevisions.set(id, warmUp.revision);
+    if (this.#appliedRevisions.get(id) === warmUp.revision) return;
+    this.#appliedRevisions.set(id, warmUp.revision);
     const until = this.#options.clock.now() + warmUp.leftMs;
-    const before = this.#toldUntil.get(id) ?? -Infinity;
-    this.#toldUntil.set(id, Math.max(before, until));
+    const before = this.#announcedUntil.get(id) ?? -Infinity;
+    this.#announcedUntil.set(id, Math.max(before, until));
   }
 
   /**
-   * Milliseconds between this VM's requests there; undefined where it has none
-   * to send.
+   * Milliseconds between this VM's requests there; undefined where it may send
+   * none.
    */
   #computeGapMs({ id, pool }: ListedReplica): number | undefined {
-    const { excess, getWarmUp, getRole: getShare } = this.#options;
+    const { excess, getWarmUp, getRole } = this.#options;
     const warmUp = getWarmUp(pool);
     if (warmUp === undefined) return 0;
     const { requestsPerS } = warmUp;
-    const mostPerS = excess.ratio * requestsPerS + excess.slack;
-    const { role, others } = getShare(pool);
+    const maxPerS = excess.ratio * requestsPerS + excess.slack;
+    const { role, others } = getRole(pool);
     if (role === "owner") {
-      const perS = Math.min(requestsPerS, OWNER_PART * mostPerS);
+      const perS = Math.min(requestsPerS, OWNER_SHARE * maxPerS);
       return MS_PER_SECOND / (perS >= 1 ? Math.floor(perS) : perS);
     }
-    // Half of a fleet may start at once, each as if it were the only one.
+    // Half of a fleet may start at once, each VM as if it were the only one.
     if (role === "unsettled") return undefined;
-    const part = role === "alone" ? ALONE_PART : NO_OWNER_PART;
-    const perS = Math.floor(Math.min(requestsPerS, part * mostPerS));
+    const share = role === "alone" ? ISOLATED_SHARE : NO_OWNER_SHARE;
+    const perS = Math.floor(Math.min(requestsPerS, share * maxPerS));
     return this.#computeSharedGapMs(id, others, perS);
   }
 
   /**
-   * The same of a VM that shares `perS` requests with all others. Where there
-   * are fewer requests than VMs, those that come first in an order by the
-   * replica's id have one each: all VMs know of each other, if not of what the
-   * others do now.
+   * The same for a VM that shares `perS` requests per second with all others.
+   * Where there are fewer requests than VMs, the first VMs in a rendezvous
+   * order by the replica's id get one each: this needs only the list of VMs,
+   * which all of them have, and no messages.
    */
   #computeSharedGapMs(
     replica: VmId,
@@ -177,16 +190,16 @@
     const vms = [this.#options.vm, ...others];
     const perVm = Math.floor(perS / vms.length);
     if (perVm >= 1) return MS_PER_SECOND / perVm;
-    const place = computeRendezvousRank(replica, this.#options.vm, others);
-    return place < perS ? MS_PER_SECOND : undefined;
+    const rank = computeRendezvousRank(replica, this.#options.vm, others);
+    return rank < perS ? MS_PER_SECOND : undefined;
   }
 
   #dropUnlisted(listed: ReadonlySet<VmId>): void {
     const maps = [
-      this.#toldUntil,
-      this.#readRevisions,
-      this.#downUntil,
-      this.#nextAt,
+      this.#announcedUntil,
+      this.#appliedRevisions,
+      this.#restartedBy,
+      this.#nextSendAt,
     ];
     for (const byReplica of maps) {
       for (const replica of byReplica.keys()) {
--- a/src/process/placement/unreported_loads.ts
+++ b/src/process/placement/unreported_loads.ts
@@ -1,9 +1,10 @@
 /**
- * Work that this VM placed for other VMs and that they have not told of yet.
+ * Load that this VM placed for other VMs and that their reports do not include
+ * yet.
  *
- * Between the answer to an ask and the asking VM's next heartbeat nobody
- * counts the request. Several asks come in that time, and without this all
- * would be sent to the replica that looked best before the first.
+ * No VM counts a request between the answer to a placement request and the next
+ * heartbeat of the requesting VM. Without this, all placement requests in that
+ * time would go to the replica that looked best before the first.
  *
  * @module
  */
@@ -12,26 +13,29 @@
 import { LoadTotals, type ReplicaLoad } from "./load_totals.ts";
 
 /**
- * An asking VM tells of its work some 25 ms later; one that has not after so
- * long, in milliseconds, is gone or has lost the answer.
+ * A requesting VM reports its load some 25 ms later; one that has not reported
+ * after this time is gone or has lost the answer.
  */
-const KEPT_MS = 1_000;
+const MAX_AGE_MS = 1_000;
 
-interface Answered {
+interface UnreportedPlacement {
   vm: VmId;
-  ask: number;
+  number: number;
   replica: VmId;
   load: ReplicaLoad;
-  notedAt: number;
+  placedAt: number;
 }
 
-/** Answers by VM and ask, until the VM's own heartbeat includes them. */
+/**
+ * Placements by VM and request number, until the VM's own heartbeat includes
+ * them.
+ */
 export class UnreportedLoads {
   readonly #clock: Clock;
   readonly #totals = LoadTotals.create();
-  /** In the order in which they were noted. */
-  readonly #answers = new Set<Answered>();
-  readonly #byVm = new Map<VmId, Set<Answered>>();
+  /** In the order in which they were added. */
+  readonly #placements = new Set<UnreportedPlacement>();
+  readonly #byVm = new Map<VmId, Set<UnreportedPlacement>>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -41,45 +45,46 @@
     return new UnreportedLoads(clock);
   }
 
-  /** Counts what was placed for ask number `ask` of `vm`. */
-  note(vm: VmId, ask: number, placed: { replica: VmId; load: ReplicaLoad }) {
-    const answered = { vm, ask, ...placed, notedAt: this.#clock.now() };
+  /** Counts what was placed for placement request `number` of `vm`. */
+  add(vm: VmId, number: number, placed: { replica: VmId; load: ReplicaLoad }) {
+    const placement = { vm, number, ...placed, placedAt: this.#clock.now() };
     const ofVm = this.#byVm.get(vm) ?? new Set();
     this.#byVm.set(vm, ofVm);
-    ofVm.add(answered);
-    this.#answers.add(answered);
+    ofVm.add(placement);
+    this.#placements.add(placement);
     this.#totals.add(placed.replica, placed.load);
   }
 
   /**
-   * Takes out what the loads that `vm` told include: all its asks up to
-   * `lastAsk` but those in `openAsks`, whose answers it had not seen.
+   * Removes what the loads reported by `vm` include: all its placement requests
+   * up to `lastRequest` but those in `openRequests`, whose answers it had not
+   * received.
    */
-  settle(vm: VmId, lastAsk: number, openAsks: readonly number[]): void {
-    for (const answered of this.#byVm.get(vm) ?? []) {
-      const isOpen = openAsks.includes(answered.ask);
-      if (answered.ask <= lastAsk && !isOpen) this.#drop(answered);
+  settle(vm: VmId, lastRequest: number, openRequests: readonly number[]): void {
+    for (const placement of this.#byVm.get(vm) ?? []) {
+      const isOpen = openRequests.includes(placement.number);
+      if (placement.number <= lastRequest && !isOpen) this.#drop(placement);
     }
   }
 
   get(replica: VmId): Readonly<ReplicaLoad> {
-    this.#dropOld();
+    this.#dropExpired();
     return this.#totals.get(replica);
   }
 
-  #dropOld(): void {
-    const oldest = this.#clock.now() - KEPT_MS;
-    for (const answered of this.#answers) {
-      if (answered.notedAt >= oldest) return;
-      this.#drop(answered);
+  #dropExpired(): void {
+    const oldest = this.#clock.now() - MAX_AGE_MS;
+    for (const placement of this.#placements) {
+      if (placement.placedAt >= oldest) return;
+      this.#drop(placement);
     }
   }
 
-  #drop(answered: Answered): void {
-    const ofVm = this.#byVm.get(answered.vm);
-    ofVm?.delete(answered);
-    if (ofVm?.size === 0) this.#byVm.delete(answered.vm);
-    this.#answers.delete(answered);
-    this.#totals.remove(answered.replica, answered.load);
+  #drop(placement: UnreportedPlacement): void {
+    const ofVm = this.#byVm.get(placement.vm);
+    ofVm?.delete(placement);
+    if (ofVm?.size === 0) this.#byVm.delete(placement.vm);
+    this.#placements.delete(placement);
+    this.#totals.remove(placement.replica, placement.load);
   }
 }
--- a/src/process/quarantine/crash_evidence.ts
+++ b/src/process/quarantine/crash_evidence.ts
@@ -1,9 +1,9 @@
 /**
- * What is known against one request: which replicas crashed under it, and when
- * it was last answered whole.
+ * Evidence against one request: which replicas crashed while they ran it, and
+ * when it was last answered completely.
  *
- * Evidence is a set of replica incarnations and the time of an answer: put
- * together in any order, and more than once, it comes to the same.
+ * The evidence is a set of replica incarnations and the time of an answer, so
+ * entries can be merged in any order and more than once.
  *
  * @module
  */
@@ -12,46 +12,49 @@
 const MS_PER_MINUTE = 60_000;
 const MS_PER_HOUR = 60 * MS_PER_MINUTE;
 
-/** A request is held once so many replicas have crashed under it, */
-export const HELD_CRASHES = 3;
+/** Number of crashed replicas at which a request is held. */
+export const HOLD_AFTER_CRASHES = 3;
 /**
- * How long after the last crash, in milliseconds; doubled for each crash more,
- * so that one that never stops costs a replica ever more seldom.
+ * How long it is held after the last crash; doubled for each further crash, so
+ * that a request that never stops crashes replicas ever more seldom.
  */
 const FIRST_HOLD_MS = 10 * MS_PER_MINUTE;
-const LONGEST_HOLD_MS = 24 * MS_PER_HOUR;
+const MAX_HOLD_MS = 24 * MS_PER_HOUR;
 /**
- * So many crashes before its first output hold it for a short time. One that
- * crashes replicas as they begin it has no output; most of what is cut beside
- * it has, and what had none is soon tried again.
+ * Number of crashes before the first output at which a request is held for a
+ * short time. A request that crashes replicas as they begin it has no output;
+ * most requests that are cut off beside it have some, and those without are
+ * soon retried.
  */
-const HELD_EARLY_CRASHES = 2;
+const HOLD_AFTER_EARLY_CRASHES = 2;
 const EARLY_HOLD_MS = MS_PER_MINUTE;
 /**
- * Evidence lasts so long, in milliseconds. One that was held is held again
- * after one crash more, and not after as many as the first time.
+ * How long evidence lasts. It lasts longer once the request was held, so that
+ * one more crash is enough to hold it again.
  */
-const SUSPICION_MS = 10 * MS_PER_MINUTE;
-const HELD_SUSPICION_MS = 2 * LONGEST_HOLD_MS;
-/** Crashes remembered of one request. */
+const EVIDENCE_TTL_MS = 10 * MS_PER_MINUTE;
+const HELD_EVIDENCE_TTL_MS = 2 * MAX_HOLD_MS;
+/** Largest number of crashes kept per request. */
 const MAX_CRASHES = 16;
 
-/** What VMs tell each other of one request; ages are in milliseconds. */
+/**
+ * Evidence against one request, as VMs exchange it; ages are in milliseconds.
+ */
 export type SuspectEntry = [
   fingerprint: RequestFingerprint,
   crashes: [replica: Incarnation, ageMs: number, hadOutput: boolean][],
-  /** Since it was last answered whole; -1 for never. */
+  /** Time since its last complete answer; -1 for never. */
   answeredAgeMs: number,
 ];
 
-/** One replica's end under the request. */
+/** Crash of one replica that ran the request. */
 interface Crash {
-  /** By `Clock.now()`. */
+  /** As `Clock.now()`. */
   at: number;
   hadOutput: boolean;
 }
 
-/** Crashes and answers of one request. All times are by `Clock.now()`. */
+/** Crashes and answers of one request. All times are those of `Clock.now()`. */
 export class CrashEvidence {
   readonly #crashes = new Map<Incarnation, Crash>();
   #answeredAt = -Infinity;
@@ -60,15 +63,15 @@
     return new CrashEvidence();
   }
 
-  /** Takes in what another VM knows; says whether any of it is new. */
+  /** Merges the evidence of another VM; returns whether any of it is new. */
   mergeEntry([, crashes, answeredAgeMs]: SuspectEntry, now: number): boolean {
     const answeredAt = answeredAgeMs < 0 ? -Infinity : now - answeredAgeMs;
-    const news = crashes.filter(([replica, , hadOutput]) => {
+    const changes = crashes.filter(([replica, , hadOutput]) => {
       const known = this.#crashes.get(replica);
       return known === undefined || (known.hadOutput && !hadOutput);
     });
-    if (news.length === 0 && answeredAt <= this.#answeredAt) return false;
-    for (const [replica, ageMs, hadOutput] of news) {
+    if (changes.length === 0 && answeredAt <= this.#answeredAt) return false;
+    for (const [replica, ageMs, hadOutput] of changes) {
       const known = this.#crashes.get(replica);
       this.#crashes.set(replica, {
         at: known?.at ?? now - ageMs,
@@ -80,7 +83,10 @@
     return true;
   }
 
-  /** What crashed before is no evidence against a request that ran whole. */
+  /**
+   * Records a complete answer: earlier crashes are no evidence against the
+   * request.
+   */
   noteAnswered(at: number): void {
     this.#answeredAt = Math.max(this.#answeredAt, at);
   }
@@ -96,22 +102,22 @@
     return [fingerprint, crashes, answeredAgeMs];
   }
 
-  /** Crashes since the last whole answer. */
+  /** Number of crashes since the last complete answer. */
   countCrashes(): number {
     return this.#listCrashes().length;
   }
 
   /**
-   * Whether it may be what crashes replicas, and not just one of those that
-   * were cut in the middle of their output.
+   * Whether the request may be what crashes replicas, and not just one that a
+   * single crash cut off in the middle of its output.
    */
   isSuspect(): boolean {
     const crashes = this.#listCrashes();
     return crashes.length > 1 || crashes.some(({ hadOutput }) => !hadOutput);
   }
 
-  /** Whether there were crashes enough to hold the request. */
-  isHeldOnce(): boolean {
+  /** Whether there were enough crashes to hold the request. */
+  hasBeenHeld(): boolean {
     return this.#getHoldMs() > 0;
   }
 
@@ -120,20 +126,20 @@
     return this.#getLastCrashAt() + this.#getHoldMs();
   }
 
-  /** When it is of no use any more. */
-  getForgottenAt(): number {
-    const keptMs = this.isHeldOnce() ? HELD_SUSPICION_MS : SUSPICION_MS;
+  /** When the evidence is of no more use. */
+  getExpiresAt(): number {
+    const keptMs = this.hasBeenHeld() ? HELD_EVIDENCE_TTL_MS : EVIDENCE_TTL_MS;
     return Math.max(this.#getLastCrashAt(), this.#answeredAt) + keptMs;
   }
 
   #getHoldMs(): number {
     const crashes = this.#listCrashes();
-    if (crashes.length >= HELD_CRASHES) {
-      const doublings = crashes.length - HELD_CRASHES;
-      return Math.min(LONGEST_HOLD_MS, FIRST_HOLD_MS * 2 ** doublings);
+    if (crashes.length >= HOLD_AFTER_CRASHES) {
+      const doublings = crashes.length - HOLD_AFTER_CRASHES;
+      return Math.min(MAX_HOLD_MS, FIRST_HOLD_MS * 2 ** doublings);
     }
     const early = crashes.filter(({ hadOutput }) => !hadOutput);
-    return early.length >= HELD_EARLY_CRASHES ? EARLY_HOLD_MS : 0;
+    return early.length >= HOLD_AFTER_EARLY_CRASHES ? EARLY_HOLD_MS : 0;
   }
 
   #listCrashes(): Crash[] {
--- a/src/process/quarantine/crash_ledger.ts
+++ b/src/process/quarantine/crash_ledger.ts
@@ -7,13 +7,13 @@
 import type { Clock } from "../clock.ts";
 import { CrashEvidence, type SuspectEntry } from "./crash_evidence.ts";
 
-/** Evidence is kept against so many requests, held ones before others. */
+/** Requests with evidence; those that were never held are evicted first. */
 const MAX_SUSPECTS = 2_000;
 
 /** Evidence by request. */
 export class CrashLedger {
   readonly #clock: Clock;
-  /** In the order in which the last evidence came. */
+  /** In order of the last evidence. */
   readonly #evidence = new Map<RequestFingerprint, CrashEvidence>();
 
   constructor(clock: Clock) {
@@ -24,7 +24,7 @@
     return new CrashLedger(clock);
   }
 
-  /** Whether the crash was not known. */
+  /** Records a crash; returns whether it is new. */
   addCrash(
     fingerprint: RequestFingerprint,
     replica: Incarnation,
@@ -37,7 +37,7 @@
     this.#evidence.get(fingerprint)?.noteAnswered(this.#clock.now());
   }
 
-  /** Takes in what another VM knows; says whether any of it is new. */
+  /** Merges the evidence of another VM; returns whether any of it is new. */
   mergeEntry(entry: SuspectEntry): boolean {
     const [fingerprint] = entry;
     const evidence = this.#findCurrent(fingerprint) ?? CrashEvidence.create();
@@ -46,7 +46,9 @@
     return true;
   }
 
-  /** Replicas that crashed under it since it was last answered whole. */
+  /**
+   * Number of replicas that crashed under it since its last complete answer.
+   */
   countCrashes(fingerprint: RequestFingerprint): number {
     return this.#findCurrent(fingerprint)?.countCrashes() ?? 0;
   }
@@ -56,14 +58,14 @@
     return this.#findCurrent(fingerprint)?.isSuspect() ?? false;
   }
 
-  /** How long it is still held, in milliseconds; 0 if it may be sent. */
+  /** Milliseconds for which it is still held; 0 if it may be sent. */
   getHeldMs(fingerprint: RequestFingerprint): number {
     const heldUntil = this.#findCurrent(fingerprint)?.getHeldUntil() ??
       -Infinity;
     return Math.max(0, heldUntil - this.#clock.now());
   }
 
-  /** What is known of each of them, for other VMs. */
+  /** Evidence against each of the requests, for other VMs. */
   buildEntries(fingerprints: Iterable<RequestFingerprint>): SuspectEntry[] {
     const entries: SuspectEntry[] = [];
     for (const each of fingerprints) {
@@ -74,7 +76,7 @@
     return entries;
   }
 
-  /** Requests with evidence against them, those of most crashes first. */
+  /** Requests with evidence against them, those with the most crashes first. */
   listSuspects(): RequestFingerprint[] {
     return [...this.#evidence.keys()].reverse()
       .map((fingerprint) => ({
@@ -94,15 +96,17 @@
 
   #dropOldest(): void {
     const [oldest] = this.#evidence.keys();
-    const unheld = [...this.#evidence].find(([, each]) => !each.isHeldOnce());
-    this.#evidence.delete(unheld?.[0] ?? oldest!);
+    const neverHeld = [...this.#evidence].find(([, each]) =>
+      !each.hasBeenHeld()
+    );
+    this.#evidence.delete(neverHeld?.[0] ?? oldest!);
   }
 
-  /** Undefined where nothing is known any more. */
+  /** Undefined where there is no evidence, or none that still counts. */
   #findCurrent(fingerprint: RequestFingerprint): CrashEvidence | undefined {
     const evidence = this.#evidence.get(fingerprint);
     if (evidence === undefined) return undefined;
-    if (this.#clock.now() < evidence.getForgottenAt()) return evidence;
+    if (this.#clock.now() < evidence.getExpiresAt()) return evidence;
     this.#evidence.delete(fingerprint);
     return undefined;
   }
--- a/src/process/quarantine/index.ts
+++ b/src/process/quarantine/index.ts
@@ -1,9 +1,9 @@
 /**
- * Requests that crash replicas, and how they are kept from them.
+ * Quarantine of requests that crash replicas.
  *
  * @module
  */
 export { type SuspectEntry } from "./crash_evidence.ts";
-export { createPeerSuspectGossip as createPeerSuspectNews } from "./peer_suspect_gossip.ts";
+export { createPeerSuspectGossip } from "./peer_suspect_gossip.ts";
 export { RequestQuarantine } from "./request_quarantine.ts";
-export { SuspectGossip as SuspectNews } from "./suspect_gossip.ts";
+export { SuspectGossip } from "./suspect_gossip.ts";
--- a/src/process/quarantine/peer_suspect_gossip.ts
+++ b/src/process/quarantine/peer_suspect_gossip.ts
@@ -1,5 +1,5 @@
 /**
- * Evidence against requests, told by calls to VMs of a published fleet.
+ * Exchange of evidence against requests by peer calls, in a published fleet.
  *
  * @module
  */
@@ -11,14 +11,14 @@
 import type { RequestQuarantine } from "./request_quarantine.ts";
 import { SuspectGossip } from "./suspect_gossip.ts";
 
-/** What telling by calls needs. */
+/** Options of `createPeerSuspectGossip`. */
 export interface PeerSuspectGossipOptions {
   environment: Environment;
   membership: Pick<MembershipView, "listEntryVms" | "isReachable">;
   quarantine: RequestQuarantine;
 }
 
-/** News to the other entry VMs that are reachable. */
+/** Creates the gossip with the other entry VMs that are reachable. */
 export function createPeerSuspectGossip(
   { environment, membership, quarantine }: PeerSuspectGossipOptions,
 ): SuspectGossip<VmId> {
@@ -27,10 +27,10 @@
   const sendTo = async (peer: VmId, entries: readonly SuspectEntry[]) => {
     const call = { from, entries: [...entries] };
     try {
-      const better = await peers.getPeer(peer).noteSuspects(call);
-      quarantine.mergeEntries(peer, better);
+      const newer = await peers.getPeer(peer).noteSuspects(call);
+      quarantine.mergeEntries(peer, newer);
     } catch (thrown) {
-      // Gossip tells it again.
+      // The next gossip sends it again.
       log.debug("suspects_not_told", { peer, error: toError(thrown).message });
     }
   };
--- a/src/process/quarantine/request_quarantine.ts
+++ b/src/process/quarantine/request_quarantine.ts
@@ -1,5 +1,6 @@
 /**
- * Keeps requests from replicas that crash each replica that begins them.
+ * Keeps a request that crashes every replica that begins it away from the
+ * others.
  *
  * @module
  */
@@ -12,46 +13,49 @@
 import type { Clock } from "../clock.ts";
 import type { Log } from "../log.ts";
 import { type DisconnectedReplica, Quarantine } from "../services.ts";
-import { HELD_CRASHES, type SuspectEntry } from "./crash_evidence.ts";
+import { HOLD_AFTER_CRASHES, type SuspectEntry } from "./crash_evidence.ts";
 import { CrashLedger } from "./crash_ledger.ts";
 
-/** Requests cut by one crash fail one after the other; all are told at once. */
-const NEWS_WAIT_MS = 5;
 /**
- * A request that was answered whole so short a time ago is not what crashes
- * replicas: many callers may ask for the same, and several replicas may crash
+ * Requests cut off by one crash fail one after the other; after this delay they
+ * are announced together.
+ */
+const ANNOUNCE_DELAY_MS = 5;
+/**
+ * A request that was answered completely this recently is not what crashes
+ * replicas: many callers may send the same one, and several replicas may crash
  * at once for another reason.
  */
-const TRUSTED_AFTER_ANSWER_MS = 10_000;
+const ANSWER_TRUST_MS = 10_000;
 
-/** What a check finds holds for so long, in milliseconds. */
-const CHECK_HOLDS_MS = 50;
-/** A replica takes longer to start again, in milliseconds. */
-const LEAST_LIFE_MS = 1_000;
+/** How long the result of a check is reused. */
+const CHECK_TTL_MS = 50;
+/** A replica takes longer than this to restart. */
+const MIN_RESTART_MS = 1_000;
 
-/** What a quarantine needs. */
+/** Options of `RequestQuarantine`. */
 export interface RequestQuarantineOptions {
   clock: Clock;
   log: Log;
-  /** Whether a replica takes connections; false where nothing tells. */
+  /** Whether a replica accepts connections; false where this is unknown. */
   isListening: (replica: VmId) => Promise<boolean>;
-  /** Tells the other VMs. */
+  /** Sends the entries to the other VMs. */
   announce: (entries: readonly SuspectEntry[]) => void;
 }
 
 /** A request that must not be sent. */
 export interface QuarantinedRequest {
   fingerprint: RequestFingerprint;
-  /** Replicas that crashed under it. */
+  /** Number of replicas that crashed under it. */
   crashes: number;
   leftMs: number;
 }
 
-/** One VM's quarantine, by the evidence of all VMs. */
+/** Quarantine of one VM, by the evidence of all VMs. */
 export class RequestQuarantine extends Quarantine {
   readonly #options: RequestQuarantineOptions;
   readonly #ledger: CrashLedger;
-  /** When requests were answered whole lately, the oldest first. */
+  /** When requests were answered completely, recent ones only, oldest first. */
   readonly #answers = new Map<RequestFingerprint, number>();
   readonly #checks = new Map<Incarnation, Promise<boolean>>();
   readonly #unsent = new Set<RequestFingerprint>();
@@ -80,7 +84,7 @@
   ): Promise<void> {
     const replica = incarnation ?? this.#buildIncarnation(id);
     const hasCrashed = await this.#checkCrash(id, replica);
-    if (!hasCrashed || this.#isAnsweredLately(fingerprint)) return;
+    if (!hasCrashed || this.#isRecentlyAnswered(fingerprint)) return;
     const wasHeld = this.getQuarantineMs(fingerprint) > 0;
     if (!this.#ledger.addCrash(fingerprint, replica, hadOutput)) return;
     this.#options.log.info("crash_noted", {
@@ -89,7 +93,7 @@
       had_output: hadOutput,
       crashes: this.#ledger.countCrashes(fingerprint),
     });
-    if (!wasHeld) this.#checkHeld(fingerprint, "self");
+    if (!wasHeld) this.#recordQuarantined(fingerprint, "self");
     this.#announceSoon(fingerprint);
   }
 
@@ -97,46 +101,50 @@
     const { clock, log } = this.#options;
     this.#answers.delete(fingerprint);
     this.#answers.set(fingerprint, clock.now());
-    this.#dropOldAnswers();
+    this.#dropExpiredAnswers();
     const crashes = this.#ledger.countCrashes(fingerprint);
     if (crashes === 0) return;
     this.#ledger.noteAnswered(fingerprint);
     log.info("suspect_cleared", { fingerprint, crashes });
-    // One crash alone keeps a request from nothing, and most that are cut by
-    // one are answered soon after.
+    // A single crash does not hold a request, and most requests that one cuts
+    // off are answered soon after.
     if (crashes > 1) this.#announceSoon(fingerprint);
   }
 
   /**
-   * Takes in what another VM knows; returns what that VM should know better.
+   * Merges the entries of another VM; returns those that are newer here, for
+   * that VM.
    */
   mergeEntries(
     from: string,
     entries: readonly SuspectEntry[],
   ): SuspectEntry[] {
-    const better: SuspectEntry[] = [];
+    const newer: SuspectEntry[] = [];
     for (const entry of entries) {
       const [fingerprint] = entry;
       const wasHeld = this.getQuarantineMs(fingerprint) > 0;
       const isNew = this.#ledger.mergeEntry(entry);
-      if (this.#isAnsweredLately(fingerprint)) {
+      if (this.#isRecentlyAnswered(fingerprint)) {
         this.#ledger.noteAnswered(fingerprint);
       }
-      if (isNew && !wasHeld) this.#checkHeld(fingerprint, from);
+      if (isNew && !wasHeld) this.#recordQuarantined(fingerprint, from);
       if (this.#ledger.countCrashes(fingerprint) > 0) continue;
       if (!isSuspected(entry)) continue;
-      better.push(...this.#ledger.buildEntries([fingerprint]));
+      newer.push(...this.#ledger.buildEntries([fingerprint]));
     }
-    return better;
+    return newer;
   }
 
-  /** The evidence against those of most crashes, at most `count` requests. */
+  /**
+   * Evidence against the requests with the most crashes, at most `count` of
+   * them.
+   */
   listEntries(count: number): SuspectEntry[] {
     const suspects = this.#ledger.listSuspects().slice(0, count);
     return this.#ledger.buildEntries(suspects);
   }
 
-  /** Requests that are held now, those of most crashes first. */
+  /** Requests that are held now, those with the most crashes first. */
   listQuarantined(): QuarantinedRequest[] {
     return this.#ledger.listSuspects().map((fingerprint) => ({
       fingerprint,
@@ -145,14 +153,15 @@
     })).filter(({ leftMs }) => leftMs > 0);
   }
 
-  /** How many requests have any evidence against them. */
+  /** Number of requests with any evidence against them. */
   countSuspects(): number {
     return this.#ledger.listSuspects().length;
   }
 
   /**
-   * A replica that lives resets connections, too, when it has too many or fails
-   * part of its requests. One connection tells for all that it cut at once.
+   * Whether the replica has crashed: a live one resets connections too, when it
+   * has too many or fails part of its requests. One check counts for all
+   * requests that were cut off at once.
    */
   #checkCrash(id: VmId, replica: Incarnation): Promise<boolean> {
     const { clock, isListening } = this.#options;
@@ -160,27 +169,30 @@
     if (known !== undefined) return known;
     const check = isListening(id).then((isOpen) => !isOpen);
     this.#checks.set(replica, check);
-    clock.startTimer(CHECK_HOLDS_MS, () => this.#checks.delete(replica));
+    clock.startTimer(CHECK_TTL_MS, () => this.#checks.delete(replica));
     return check;
   }
 
-  /** A replica that crashes again has started again in between. */
+  /**
+   * Incarnation of a replica that reports none: if it crashes again, it has
+   * restarted in between.
+   */
   #buildIncarnation(id: VmId): Incarnation {
-    const span = Math.floor(this.#options.clock.now() / LEAST_LIFE_MS);
-    return toId<Incarnation>(`${id}@${span}`);
+    const generation = Math.floor(this.#options.clock.now() / MIN_RESTART_MS);
+    return toId<Incarnation>(`${id}@${generation}`);
   }
 
   #announceSoon(fingerprint: RequestFingerprint): void {
     this.#unsent.add(fingerprint);
     if (this.#unsent.size > 1) return;
-    this.#options.clock.startTimer(NEWS_WAIT_MS, () => {
+    this.#options.clock.startTimer(ANNOUNCE_DELAY_MS, () => {
       const entries = this.#ledger.buildEntries(this.#unsent);
       this.#unsent.clear();
       this.#options.announce(entries);
     });
   }
 
-  #checkHeld(fingerprint: RequestFingerprint, from: string): void {
+  #recordQuarantined(fingerprint: RequestFingerprint, from: string): void {
     const heldMs = this.getQuarantineMs(fingerprint);
     if (heldMs === 0) return;
     const [entry] = this.#ledger.buildEntries([fingerprint]);
@@ -188,19 +200,19 @@
     this.#options.log.warn("request_quarantined", {
       fingerprint,
       crashes: replicas.length,
-      replicas: replicas.slice(-HELD_CRASHES).join(),
+      replicas: replicas.slice(-HOLD_AFTER_CRASHES).join(),
       for_ms: Math.round(heldMs),
       from,
     });
   }
 
-  #isAnsweredLately(fingerprint: RequestFingerprint): boolean {
+  #isRecentlyAnswered(fingerprint: RequestFingerprint): boolean {
     const answeredAt = this.#answers.get(fingerprint) ?? -Infinity;
-    return answeredAt > this.#options.clock.now() - TRUSTED_AFTER_ANSWER_MS;
+    return answeredAt > this.#options.clock.now() - ANSWER_TRUST_MS;
   }
 
-  #dropOldAnswers(): void {
-    const since = this.#options.clock.now() - TRUSTED_AFTER_ANSWER_MS;
+  #dropExpiredAnswers(): void {
+    const since = this.#options.clock.now() - ANSWER_TRUST_MS;
     for (const [fingerprint, answeredAt] of this.#answers) {
       if (answeredAt > since) return;
       this.#answers.delete(fingerprint);
@@ -208,7 +220,7 @@
   }
 }
 
-/** Whether the sender of an entry takes its request for a suspect. */
+/** Whether the sender of an entry considers its request a suspect. */
 function isSuspected([, crashes, answeredAgeMs]: SuspectEntry): boolean {
   return crashes.some(([, ageMs]) =>
     answeredAgeMs < 0 || ageMs < answeredAgeMs
--- a/src/process/quarantine/suspect_gossip.ts
+++ b/src/process/quarantine/suspect_gossip.ts
@@ -1,9 +1,10 @@
 /**
- * How VMs hear of each other's evidence against requests.
+ * Exchange of evidence against requests between VMs.
  *
- * A crash is told to all at once, since the request may come again at any VM.
- * Messages get lost and VMs start or are cut off: each second a VM tells one
- * other, picked at random, of the requests with the most crashes.
+ * A crash is announced to all VMs at once, since the request may arrive at any
+ * of them next. Messages get lost, and VMs restart or are cut off: so every
+ * second a VM also sends the evidence against the requests with the most
+ * crashes to one other VM, picked at random.
  *
  * @module
  */
@@ -11,24 +12,27 @@
 import type { Random } from "../random.ts";
 import type { SuspectEntry } from "./crash_evidence.ts";
 
-const GOSSIP_EVERY_MS = 1_000;
-/** Requests told of at a time, some 80 bytes each. */
-const PRESSING_ENTRIES = 12;
+const GOSSIP_INTERVAL_MS = 1_000;
+/** Entries in a message, of some 80 bytes each. */
+const MAX_GOSSIP_ENTRIES = 12;
 
-/** What telling needs; `Peer` is another VM. */
+/** Options of `SuspectGossip`; `Peer` is another VM. */
 export interface SuspectGossipOptions<Peer> {
   clock: Clock;
   random: Random;
   listPeers: () => readonly Peer[];
   send: (to: readonly Peer[], entries: readonly SuspectEntry[]) => void;
-  /** The evidence against those of most crashes, at most `count` requests. */
+  /**
+   * Evidence against the requests with the most crashes, at most `count` of
+   * them.
+   */
   listEntries: (count: number) => SuspectEntry[];
 }
 
-/** Tells the other VMs. */
+/** Sends evidence to the other VMs. */
 export class SuspectGossip<Peer> {
   readonly #options: SuspectGossipOptions<Peer>;
-  readonly #ended = new AbortController();
+  readonly #abort = new AbortController();
 
   constructor(options: SuspectGossipOptions<Peer>) {
     this.#options = options;
@@ -45,24 +49,27 @@
   }
 
   stop(): void {
-    this.#ended.abort();
+    this.#abort.abort();
   }
 
-  /** What a VM is told that has just been heard, or is told now and then. */
+  /**
+   * Entries for a VM that has just become reachable, and for the regular
+   * gossip.
+   */
   listTopSuspects(): SuspectEntry[] {
-    return this.#options.listEntries(PRESSING_ENTRIES);
+    return this.#options.listEntries(MAX_GOSSIP_ENTRIES);
   }
 
-  /** Tells all at once. */
+  /** Sends the entries to all other VMs at once. */
   announce(entries: readonly SuspectEntry[]): void {
     this.#options.send(this.#options.listPeers(), entries);
   }
 
   async #runGossip(): Promise<void> {
     const { clock, listPeers, random, send } = this.#options;
-    const { signal } = this.#ended;
+    const { signal } = this.#abort;
     while (!signal.aborted) {
-      await clock.sleep(GOSSIP_EVERY_MS, signal);
+      await clock.sleep(GOSSIP_INTERVAL_MS, signal);
       const entries = signal.aborted ? [] : this.listTopSuspects();
       if (entries.length > 0) send(random.pickSome(listPeers(), 1), entries);
     }
--- a/src/process/routed_fleet.ts
+++ b/src/process/routed_fleet.ts
@@ -14,10 +14,10 @@
 import type { Log } from "./log.ts";
 import { OwnedPlacement } from "./owned_placement.ts";
 import {
-  type DecisionShare,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
+  type PlacementRole,
   type PlacementState,
   PrefixPriming,
   type ReplicaDirectory,
@@ -25,7 +25,7 @@
 import {
   type RequestQuarantine,
   type SuspectEntry,
-  SuspectNews,
+  SuspectGossip,
 } from "./quarantine/index.ts";
 import type { Random } from "./random.ts";
 import { pickRendezvousFirst } from "./rendezvous.ts";
@@ -73,7 +73,7 @@
   readonly #peers: HttpUpstreamTransport;
   readonly #priming: PrefixPriming;
   readonly #owned: OwnedPlacement;
-  readonly #suspects: SuspectNews<FleetPeer>;
+  readonly #suspects: SuspectGossip<FleetPeer>;
   readonly #ended = new AbortController();
 
   constructor(options: RoutedFleetOptions) {
@@ -108,7 +108,7 @@
       getSelf: () => this.#buildMember(),
       send: (to, message) => this.#heartbeats.send(to, message),
     });
-    this.#suspects = SuspectNews.create({
+    this.#suspects = SuspectGossip.create({
       clock,
       random,
       listPeers: () => this.listLive(),
@@ -167,7 +167,7 @@
   }
 
   /** As `OwnedPlacement.getShare`. */
-  getShare(pool: PoolName): DecisionShare {
+  getShare(pool: PoolName): PlacementRole {
     return this.#owned.getShare(pool);
   }
 
--- a/src/process/routed_placement.ts
+++ b/src/process/routed_placement.ts
@@ -7,7 +7,7 @@
 import type { RoutedSnapshot } from "../version/routes.ts";
 import type { Clock } from "./clock.ts";
 import type { Log } from "./log.ts";
-import { type DecisionShare, PlacementState } from "./placement/index.ts";
+import { type PlacementRole, PlacementState } from "./placement/index.ts";
 import type { RoutedFleet } from "./routed_fleet.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
 
@@ -26,7 +26,7 @@
   options: RoutedPlacementOptions,
 ): PlacementState {
   const { clock, log, settings, getSnapshot, getFleet } = options;
-  const getShare = (pool: PoolName): DecisionShare =>
+  const getShare = (pool: PoolName): PlacementRole =>
     getFleet()?.getShare(pool) ?? { role: "equal", others: [] };
   return PlacementState.create({
     clock,
--- a/src/process/routed_services.ts
+++ b/src/process/routed_services.ts
@@ -11,7 +11,7 @@
 import type { LocalEnvironment } from "./environment.ts";
 import type { RequestStatusStore } from "./request_status_store.ts";
 import {
-  type AskOwner,
+  type FetchPlacement,
   type Locality,
   PlacementSource,
   type PlacementState,
@@ -42,7 +42,7 @@
   replicas: ReplicaDirectory;
   locality: Locality;
   placement: PlacementState;
-  askOwner: AskOwner;
+  askOwner: FetchPlacement;
   fates: RequestStatusStore;
   metrics: ProcessMetrics;
   getSnapshot: () => RoutedSnapshot | undefined;
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -26,9 +26,9 @@
 import type { PeerApi, StatsAnswer } from "./peer_api.ts";
 import { Prober } from "./prober.ts";
 import {
-  createPeerSuspectNews,
+  createPeerSuspectGossip,
   RequestQuarantine,
-  type SuspectNews,
+  type SuspectGossip,
 } from "./quarantine/index.ts";
 import { ProcessMetrics } from "./request_metrics.ts";
 import { WindowRetryBudget } from "./retry_budget.ts";
@@ -78,7 +78,7 @@
   readonly claims: ProcessExecutionClaims;
   readonly fates: RequestStatusStore;
   readonly quarantine: RequestQuarantine;
-  readonly #suspects: SuspectNews<VmId>;
+  readonly #suspects: SuspectGossip<VmId>;
   readonly fateFinder: RequestStatusFinder;
   readonly metrics: ProcessMetrics;
   readonly #environment: Environment;
@@ -145,7 +145,7 @@
       isListening: (upstream) => environment.upstreams.isListening(upstream),
       announce: (entries) => this.#suspects.announce(entries),
     });
-    this.#suspects = createPeerSuspectNews({
+    this.#suspects = createPeerSuspectGossip({
       environment,
       membership,
       quarantine: this.quarantine,
