--- a/src/process/scheduler/local_upstream_limits.ts
+++ b/src/process/scheduler/local_upstream_limits.ts
@@ -7,10 +7,10 @@
 import type { VmId } from "../../ids.ts";
 import type { UpstreamSignals } from "../../request/upstream_signals.ts";
 import type { Clock } from "../clock.ts";
-import { RequestRate } from "../limits/index.ts";
+import { RequestRateLimiter } from "../limits/index.ts";
 
 interface UpstreamLimits {
-  rate: RequestRate;
+  rate: RequestRateLimiter;
   backOffUntil: number;
 }
 
@@ -33,7 +33,7 @@
     const { requestsPerS, backOffMs } = signals;
     const now = this.#clock.now();
     const limits = this.#limits.get(upstream) ??
-      { rate: RequestRate.create(now), backOffUntil: now };
+      { rate: RequestRateLimiter.create(now), backOffUntil: now };
     if (requestsPerS !== undefined) limits.rate.noteLimit(requestsPerS, now);
     limits.backOffUntil = Math.max(limits.backOffUntil, now + backOffMs);
     const isOpen = limits.rate.limit === undefined &&
--- a/src/process/scheduler/replica.ts
+++ b/src/process/scheduler/replica.ts
@@ -6,7 +6,7 @@
 import type { LoadReport } from "../../connection/upstream_transport.ts";
 import type { VmId } from "../../ids.ts";
 import type { UpstreamPool } from "../../version/records.ts";
-import { RequestRate } from "../limits/index.ts";
+import { RequestRateLimiter } from "../limits/index.ts";
 import { CacheIndex } from "./cache_index.ts";
 import { LatencyTrack } from "./latency_track.ts";
 import { SlotLimit } from "./slot_limit.ts";
@@ -37,7 +37,7 @@
   readonly cache = CacheIndex.create();
   readonly latency = LatencyTrack.create();
   /** Request rate that the upstream accepts, as announced to any VM. */
-  readonly rate: RequestRate;
+  readonly rate: RequestRateLimiter;
   readonly #useReports: boolean;
   /** Whether it gets no new work except probes. */
   ejected = false;
@@ -62,7 +62,7 @@
     this.limit = SlotLimit.create(options.slots, {
       adaptive: options.adaptive,
     });
-    this.rate = RequestRate.create(options.now);
+    this.rate = RequestRateLimiter.create(options.now);
     this.#useReports = options.useReports;
     this.#inUseHistory = [{ at: options.now, inUse: 0 }];
   }
--- a/test/process/limits/limit_client_test.ts
+++ b/test/process/limits/limit_client_test.ts
@@ -8,11 +8,11 @@
 
 const LIMITS = { requestsPerMinute: 60, tokensPerMinute: 60_000 };
 
-function createHeld(
+function createClient(
   clock: VirtualClock,
   fetchChunk: (amount: LimitAmount) => Promise<LimitAnswer | undefined>,
 ): { admit: () => Promise<string> } {
-  const held = LimitClient.create({
+  const client = LimitClient.create({
     clock,
     countEntryVms: () => 8,
     fetchChunk,
@@ -20,7 +20,7 @@
   const workspace = buildWorkspace("clinic", LIMITS);
   return {
     admit: () =>
-      held.admit(workspace, 10).then(() => "admitted", () => "refused"),
+      client.admit(workspace, 10).then(() => "admitted", () => "refused"),
   };
 }
 
@@ -28,11 +28,11 @@
   return { isOwner: true, ...amount, ttlMs: 5_000, retryAfterMs: 0 };
 }
 
-test("a silent owner holds a request up for 50 ms at most", async () => {
+test("an owner that does not answer delays a request by at most 50 ms", async () => {
   const clock = VirtualClock.create();
-  const held = createHeld(clock, () => new Promise(() => {}));
+  const client = createClient(clock, () => new Promise(() => {}));
   let endedAt: number | undefined;
-  const outcome = held.admit().finally(() => {
+  const outcome = client.admit().finally(() => {
     endedAt = clock.now();
   });
   await clock.run(1_000);
@@ -40,12 +40,12 @@
   expect(endedAt).toBe(50);
 });
 
-test("without an owner a VM uses its share of the rate", async () => {
+test("a VM uses its share of the rate without an owner", async () => {
   const clock = VirtualClock.create();
-  const held = createHeld(clock, () => Promise.resolve(undefined));
+  const client = createClient(clock, () => Promise.resolve(undefined));
   const outcomes: Promise<string>[] = [];
   for (let count = 0; count < 600; count++) {
-    void clock.sleep(count * 100).then(() => outcomes.push(held.admit()));
+    void clock.sleep(count * 100).then(() => outcomes.push(client.admit()));
   }
   await clock.run(60_000);
   const admitted = (await Promise.all(outcomes))
@@ -53,13 +53,12 @@
   expect(admitted.length).toBe(8);
 });
 
-// Symptom: a workspace far below its limit is told that it is over it.
-// Sequence: the limit's owner is lost; the first requests use the VM's share up
-// before the next owner answers.
-// Cause: the refusal of the share says what only the owner could know.
-test("does not call a workspace over its limit on a share's account", async () => {
+// Guards against telling a workspace far below its limit that it is over it.
+// When the owner is lost, the first requests use up the VM's share before the
+// next owner answers; only an owner knows whether the limit is exceeded.
+test("does not report a workspace as over its limit when only the VM's share is used up", async () => {
   const clock = VirtualClock.create();
-  const held = LimitClient.create({
+  const client = LimitClient.create({
     clock,
     countEntryVms: () => 8,
     fetchChunk: () => Promise.resolve(undefined),
@@ -67,7 +66,7 @@
   const workspace = buildWorkspace("clinic", LIMITS);
   const codes: string[] = [];
   for (let count = 0; count < 20; count++) {
-    const outcome = held.admit(workspace, 10).catch((thrown: unknown) => {
+    const outcome = client.admit(workspace, 10).catch((thrown: unknown) => {
       codes.push((thrown as RefusalError).refusal.code);
     });
     await clock.run(1);
@@ -77,22 +76,21 @@
   expect(new Set(codes)).toEqual(new Set(["owner_unreachable"]));
 });
 
-// Symptom: a workspace went on for seconds on a chunk granted long ago.
-// Sequence: the answer to a call is held up on the way; it arrives when its
-// chunk is no longer counted by the owner.
-// Cause: the chunk's life must count from before the call, not from the answer.
-test("a late answer brings an expired chunk", async () => {
+// Guards against a workspace that uses a chunk granted long ago. An answer may
+// be delayed until the owner no longer counts its chunk, so the chunk's
+// lifetime has to count from before the call.
+test("the chunk of a late answer has expired", async () => {
   const clock = VirtualClock.create();
   let calls = 0;
-  const held = createHeld(clock, async (amount) => {
+  const client = createClient(clock, async (amount) => {
     calls += 1;
     await clock.sleep(6_000);
     if (calls > 1) return undefined;
     return grantChunk({ requests: 100 + amount.requests, tokens: 1e6 });
   });
-  void held.admit();
+  void client.admit();
   await clock.run(7_000);
-  const outcome = held.admit();
+  const outcome = client.admit();
   await clock.run(100);
   expect(await outcome).toBe("refused");
   expect(calls).toBe(2);
@@ -100,14 +98,14 @@
 
 test("requests that wait together share one call", async () => {
   const clock = VirtualClock.create();
-  const asked: number[] = [];
-  const held = createHeld(clock, async (amount) => {
-    asked.push(amount.requests);
+  const fetched: number[] = [];
+  const client = createClient(clock, async (amount) => {
+    fetched.push(amount.requests);
     await clock.sleep(1);
     return grantChunk(amount);
   });
-  const outcomes = [held.admit(), held.admit(), held.admit()];
+  const outcomes = [client.admit(), client.admit(), client.admit()];
   await clock.run(10);
   expect(await Promise.all(outcomes)).toEqual(Array(3).fill("admitted"));
-  expect(asked).toEqual([1, 2]);
+  expect(fetched).toEqual([1, 2]);
 });
--- a/test/process/limits/workspace_limits_test.ts
+++ b/test/process/limits/workspace_limits_test.ts
@@ -43,7 +43,7 @@
 }
 
 describe("WorkspaceLimits", () => {
-  test("grants the burst after a rest, whichever VMs are asked", async () => {
+  test("grants the burst after an idle period, through any VMs", async () => {
     const fleet = createFleet({ requestsPerMinute: 60, tokensPerMinute: 1e6 });
     await fleet.clock.run(IDLE_MS);
     const { count } = await admitAll(fleet, 10);
@@ -52,7 +52,7 @@
     expect(count).toBeLessThanOrEqual(burst + 2);
   });
 
-  test("gives a true retry-after", async () => {
+  test("reports an accurate retry-after", async () => {
     const fleet = createFleet({ requestsPerMinute: 60, tokensPerMinute: 1e6 });
     await fleet.clock.run(IDLE_MS);
     const { retryAfterMs } = await admitAll(fleet, 10);
@@ -86,7 +86,7 @@
     expect(retryAfterMs).toBeGreaterThan(30_000);
   });
 
-  test("a request larger than a minute's limit is refused for good", async () => {
+  test("a request larger than a minute's limit is refused without retry-after", async () => {
     const fleet = createFleet({
       requestsPerMinute: 60,
       tokensPerMinute: 9_000,
@@ -96,7 +96,7 @@
     expect(result).toEqual({ admitted: false, retryAfterMs: undefined });
   });
 
-  test("a request of a quiet workspace waits for nobody", async () => {
+  test("a request of a workspace with little traffic does not wait for the owner", async () => {
     const fleet = createFleet({ requestsPerMinute: 600, tokensPerMinute: 1e6 });
     await fleet.clock.run(IDLE_MS);
     const owner = fleet.findOwner(WORKSPACE);
@@ -108,7 +108,7 @@
     expect(fleet.admissions[0]!.at).toBe(before);
   });
 
-  test("tokens that were not used are given back", async () => {
+  test("tokens that were not used are returned", async () => {
     const fleet = createFleet({
       requestsPerMinute: 600,
       tokensPerMinute: 8_000,
@@ -157,67 +157,65 @@
 });
 
 /**
- * What any minute may admit, over the limit: the burst, chunks granted in the
- * minute before, and one call in debt for each of two owners.
+ * What any minute may admit, relative to the limit: the burst, chunks granted
+ * in the minute before, and one call in debt for each of two owners.
  */
 const BOUND = 1 + (BURST_MS + CHUNK_TTL_MS) / MINUTE_MS + 2 * 0.015;
 
 describe("overshoot at three times the limit through 8 VMs", () => {
   const options = { seed: 3, requestsPerMinute: 600 };
 
-  test("none in steady load, and nothing is left unused", async () => {
+  test("is below 1% at steady load, and the limit is fully used", async () => {
     const figures = await runLimitScenario("steady", options);
     expect(figures.overall).toBeGreaterThan(0.99);
     expect(figures.overall).toBeLessThan(1.01);
   });
 
-  test("the burst after a rest stays under the bound", async () => {
+  test("stays under the bound for the burst after an idle period", async () => {
     const figures = await runLimitScenario("idle_then_burst", options);
     expect(figures.worstMinute).toBeGreaterThan(1.2);
     expect(figures.worstMinute).toBeLessThan(BOUND);
   });
 
-  // Symptom: right after a VM was lost, a workspace got its burst twice.
-  // Sequence: the owner grants the burst; it is lost; the next owner, which
-  // knows nothing of that, starts with a full bucket and grants it again.
-  // Cause: a new owner's bucket was full; it must be empty when it takes over.
-  test("none when the owner is lost", async () => {
+  // Guards against a burst that is granted twice when the owner is lost: the
+  // next owner does not know what was granted, so its bucket has to start
+  // empty.
+  test("is small when the owner is lost", async () => {
     const figures = await runLimitScenario("owner_lost", options);
     expect(figures.worstMinute).toBeLessThan(1.05);
     expect(figures.overall).toBeGreaterThan(0.95);
   });
 
-  // Symptom: during a partition a workspace got twice its limit.
-  // Sequence: the fleet splits in two; on each side a VM finds itself the
-  // owner and fills its bucket at the whole rate.
-  // Cause: an owner must fill only at the share of listed VMs that it reaches.
-  test.each(["partition", "uneven_partition"])("none in a %s", async (name) => {
-    const figures = await runLimitScenario(name, options);
-    expect(figures.worstMinute).toBeLessThan(1.05);
-    expect(figures.overall).toBeGreaterThan(0.95);
-  });
-
-  // Symptom: after an owner was paused, a workspace got its burst twice.
-  // Sequence: the owner sleeps; another VM takes over and grants the rate; the
-  // first wakes, still believes that it owns the limit, and finds its bucket
-  // full.
-  // Cause: the bucket filled up over the pause; a late tick must empty it.
-  test("little when the owner is paused and wakes up", async () => {
+  // Guards against twice the limit during a partition: each side has an owner,
+  // which has to refill only at the share of the listed VMs that it reaches.
+  test.each(["partition", "uneven_partition"])(
+    "is small in a %s",
+    async (name) => {
+      const figures = await runLimitScenario(name, options);
+      expect(figures.worstMinute).toBeLessThan(1.05);
+      expect(figures.overall).toBeGreaterThan(0.95);
+    },
+  );
+
+  // Guards against a burst that is granted twice after an owner was paused:
+  // another VM takes over, then the first one wakes up, still considers itself
+  // the owner, and finds its bucket refilled. A late tick has to empty it.
+  test("is small when the owner is paused and resumes", async () => {
     const figures = await runLimitScenario("paused_owner", options);
     expect(figures.worstMinute).toBeLessThan(1.08);
   });
 
-  // Symptom: with 5% of messages lost, 1.88 times the limit was admitted.
-  // Sequence: a call or its answer is lost; the VM uses its local share for
-  // half a second, while the owner goes on granting the whole rate.
-  // Cause: use of the local share was not charged to the owner afterwards.
-  test("little when messages are lost and repeated", async () => {
+  // Guards against use of the local share that is not charged to the owner: a
+  // call or its answer is lost, the VM uses its share for half a second, and
+  // the owner goes on granting the whole rate. With 5% of messages lost, 1.88
+  // times the limit was admitted.
+  test("is small when messages are lost and repeated", async () => {
     const figures = await runLimitScenario("lossy", options);
     expect(figures.worstMinute).toBeLessThan(1.08);
     expect(figures.overall).toBeGreaterThan(0.9);
   });
 
-  test("a small limit is not stranded on one VM", async () => {
+  test("is at most one request for a small limit, which no VM holds back", async () => {
     const figures = await runLimitScenario("steady", {
       seed: 3,
       requestsPerMinute: 6,
--- a/test/process/placement/eligible_replicas_test.ts
+++ b/test/process/placement/eligible_replicas_test.ts
@@ -6,7 +6,7 @@
 } from "../../../src/process/placement/interactive_replicas.ts";
 import { PlacementState } from "../../../src/process/placement/index.ts";
 import { choosePlacement } from "../../../src/process/placement/placement_choice.ts";
-import { listSuited } from "../../../src/process/placement/eligible_replicas.ts";
+import { listEligible } from "../../../src/process/placement/eligible_replicas.ts";
 import {
   buildListedReplica,
   buildListedReplicas,
@@ -37,38 +37,36 @@
 
 function listIds(loaded: LoadedReplica[], isInteractive: boolean): string[] {
   const split = computeInteractiveSplit(loaded);
-  return listSuited(loaded, { ...STREAM, isInteractive }, split)
+  return listEligible(loaded, { ...STREAM, isInteractive }, split)
     .map(({ replica }) => replica.id);
 }
 
-// The load: a burst of interactive streams, for some seconds more than the
-// replicas that are kept for them have slots.
-// Symptom: streams wait a second for a slot while half of the pool is idle.
-// Sequence: the burst fills the kept replicas; others are taken for interactive
-// streams up to half of the pool, and no further.
-// Cause: interactive streams went to the replicas kept for them alone.
+// Guards against interactive streams that wait a second for a slot while half
+// of the pool is idle. A burst fills the reserved replicas, and no more than
+// half of the pool is ever reserved; earlier, interactive streams went to
+// reserved replicas only.
 describe("interactive streams in a burst", () => {
-  it("go to the replicas kept for them while those have slots", () => {
+  it("go to the reserved replicas while those have free slots", () => {
     expect(listIds(buildLoaded([15, 16, 16, 16, 0, 0, 0, 0]), true).sort())
       .toEqual(["i-0", "i-1", "i-2", "i-3"]);
   });
 
-  it("go elsewhere once those have none", () => {
+  it("go elsewhere once the reserved replicas are full", () => {
     expect(listIds(buildLoaded([16, 16, 16, 16, 0, 0, 0, 0]), true))
       .toEqual(["i-4", "i-5", "i-6", "i-7"]);
   });
 
-  it("wait at those kept for them where no replica has a slot", () => {
+  it("wait at the reserved replicas where no replica has a free slot", () => {
     const loaded = buildLoaded(Array(POOL_SIZE).fill(SLOTS));
     expect(listIds(loaded, true)).toHaveLength(POOL_SIZE / 2);
   });
 
-  it("leave long prompts where they were", () => {
+  it("do not displace long prompts from the other replicas", () => {
     expect(listIds(buildLoaded([16, 16, 16, 16, 0, 0, 0, 0]), false))
       .toEqual(["i-4", "i-5", "i-6", "i-7"]);
   });
 
-  it("go where least is read, of those elsewhere", () => {
+  it("spill over to the replica with the least prefill", () => {
     const replicas = buildListedReplicas(POOL_SIZE);
     const state = PlacementState.create({
       clock: VirtualClock.create(),
--- a/test/process/placement/fetch_source_test.ts
+++ b/test/process/placement/fetch_source_test.ts
@@ -9,14 +9,14 @@
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 const DATA_CENTRE = toId<ListedReplica["dataCentre"]>("dc");
-const SHEET: PlacementNeeds = {
+const DOCUMENT: PlacementNeeds = {
   parts: ["sheet", "own"],
   partTokens: [13_000, 3_700],
   promptTokens: 16_700,
   isInteractive: false,
 };
 /** Longer than any prefill takes on replicas that are not overloaded. */
-const READ_MS = 2_000;
+const PREFILL_MS = 2_000;
 
 function createPool() {
   const clock = VirtualClock.create();
@@ -34,21 +34,20 @@
     onUpdate: () => {},
     onEjected: () => {},
   });
-  const choose = (needs = SHEET) =>
+  const choose = (needs = DOCUMENT) =>
     choosePlacement(replicas, needs, { dataCentre: DATA_CENTRE, state })!;
   return { clock, state, replicas, choose };
 }
 
-// The load: a flood of prompts about one long sheet, more than the replica that
-// has read it can read the rest of.
-// Symptom: the sheet is read again by every replica, and all queues grow.
-// Cause: a replica that did not hold the sheet had no way to it but prefill.
-describe("a prompt whose shared part is read elsewhere", () => {
+// Guards against every replica prefilling the same long part when one part is
+// hot. Without fetches, a replica that had not cached the part could only
+// prefill it, and all queues grew.
+describe("a prompt whose shared part is cached at another replica", () => {
   it("goes to an idle replica that fetches it from a busy one", async () => {
     const { clock, state, replicas, choose } = createPool();
     const holder = replicas[0]!.id;
-    state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
-    await clock.run(READ_MS);
+    state.prefixes.noteSent(holder, DOCUMENT.parts, DOCUMENT.promptTokens);
+    await clock.run(PREFILL_MS);
     state.loads.addOwn(holder, { pendingTokens: 20_000, isInteractive: false });
     const placement = choose();
     expect(placement.replica.id).not.toBe(holder);
@@ -56,62 +55,63 @@
     expect(placement.fetchedTokens).toBe(13_000);
   });
 
-  // Symptom: on empty caches the same sheet is read at several replicas.
-  // Sequence: one has read it after half a second; more prompts come for it.
-  // Cause: it counted as read by the time alone, a second later.
-  it("is fetched as soon as its reader has sent any output", async () => {
+  // Guards against several replicas prefilling the same part on empty caches:
+  // the part must count as prefilled with the first output after it, which may
+  // be a second before the fixed time.
+  it("has its part fetched once the holder has sent any output", async () => {
     const { clock, state, replicas, choose } = createPool();
     const holder = replicas[0]!.id;
-    state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
+    state.prefixes.noteSent(holder, DOCUMENT.parts, DOCUMENT.promptTokens);
     await clock.run(500);
     state.loads.addOwn(holder, { pendingTokens: 20_000, isInteractive: false });
     expect(choose().fetchFrom).toBeUndefined();
-    state.prefixes.noteRead(holder, SHEET.parts);
+    state.prefixes.notePrefilled(holder, DOCUMENT.parts);
     expect(choose().fetchFrom).toBe("10.0.0.1:80");
-    const [told] = state.takeUpdate().reads;
-    expect(told).toEqual([holder, ["sheet"]]);
+    const [reported] = state.takeUpdate().reads;
+    expect(reported).toEqual([holder, ["sheet"]]);
   });
 
-  it("tells nobody of what they take for read by themselves", async () => {
+  it("causes no update that the other VMs assume by themselves", async () => {
     const { clock, state, replicas } = createPool();
     const holder = replicas[0]!.id;
-    state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
-    await clock.run(READ_MS);
-    state.prefixes.noteRead(holder, SHEET.parts);
+    state.prefixes.noteSent(holder, DOCUMENT.parts, DOCUMENT.promptTokens);
+    await clock.run(PREFILL_MS);
+    state.prefixes.notePrefilled(holder, DOCUMENT.parts);
     expect(state.takeUpdate().reads).toEqual([]);
   });
 
-  // Symptom: some replicas have five seconds of prefill ahead, others none.
-  // Sequence: 45,000 tokens wait at the mean replica of a flood, 200,000 at
-  // the one that holds a sheet.
-  // Cause: prefill the sheet again weighed more the more was waiting, without
-  // end, so every prompt for it went there.
-  it("goes elsewhere from a replica far behind the others", () => {
+  // Guards against one replica with seconds of prefill ahead while others have
+  // none: the weight of prefilling a part again grew with the queues without
+  // limit, so every prompt with that part went to its holder. In the case seen,
+  // 200,000 tokens waited there and 45,000 at the mean replica.
+  it("avoids a holder that is far behind the others", () => {
     const { state, replicas, choose } = createPool();
     const [holder, ...others] = replicas.map(({ id }) => id);
-    state.prefixes.noteSent(holder!, SHEET.parts, SHEET.promptTokens);
+    state.prefixes.noteSent(holder!, DOCUMENT.parts, DOCUMENT.promptTokens);
     const isInteractive = false;
     state.loads.addOwn(holder!, { pendingTokens: 200_000, isInteractive });
     for (const id of others) {
       state.loads.addOwn(id, { pendingTokens: 40_000, isInteractive });
     }
-    expect(choose({ ...SHEET, targetMs: 2_000 }).replica.id).not.toBe(holder);
+    expect(choose({ ...DOCUMENT, targetMs: 2_000 }).replica.id).not.toBe(
+      holder,
+    );
   });
 
-  it("stays where it is while there is room", async () => {
+  it("goes to the holder while that has capacity", async () => {
     const { clock, state, replicas, choose } = createPool();
     const holder = replicas[0]!.id;
-    state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
-    await clock.run(READ_MS);
+    state.prefixes.noteSent(holder, DOCUMENT.parts, DOCUMENT.promptTokens);
+    await clock.run(PREFILL_MS);
     const placement = choose();
     expect(placement.replica.id).toBe(holder);
     expect(placement.fetchFrom).toBeUndefined();
   });
 
-  it("is not fetched before it can have been read", () => {
+  it("fetches nothing before the holder can have prefilled the part", () => {
     const { state, replicas, choose } = createPool();
     const holder = replicas[0]!.id;
-    state.prefixes.noteSent(holder, SHEET.parts, SHEET.promptTokens);
+    state.prefixes.noteSent(holder, DOCUMENT.parts, DOCUMENT.promptTokens);
     state.loads.addOwn(holder, { pendingTokens: 90_000, isInteractive: false });
     expect(choose().fetchFrom).toBeUndefined();
   });
--- a/test/process/placement/interactive_replicas_test.ts
+++ b/test/process/placement/interactive_replicas_test.ts
@@ -4,11 +4,8 @@
 import { computeInteractiveSplit } from "../../../src/process/placement/interactive_replicas.ts";
 
 const SLOTS = 64;
-/**
- * As many interactive streams as one replica is kept for: four tenths of its
- * slots.
- */
-const STREAMS_OF_ONE = 25;
+/** Interactive streams for which one replica is reserved: 0.4 of its slots. */
+const STREAMS_PER_REPLICA = 25;
 
 function buildLoaded(interactive: number[], prefillShare = 0) {
   return interactive.map((each, index) => ({
@@ -31,12 +28,10 @@
   }));
 }
 
-// The load: long prompts are read without a pause on every replica of a pool,
-// and interactive streams of some hundred tokens run beside them.
-// Symptom: interactive streams begin in time and then pause for longer than
-// their callers accept; the longest do not end before their deadline.
-// Cause: each token waits for a chunk of somebody's prompt.
-describe("replicas for interactive streams", () => {
+// Guards against interactive streams that begin on time and then pause for
+// longer than their callers accept, or miss their deadline. While long prompts
+// are prefilled on every replica, each token waits for a chunk of one of them.
+describe("replicas reserved for interactive streams", () => {
   it("are none where no such stream runs, and in pools too small to split", () => {
     expect(
       computeInteractiveSplit(buildLoaded([0, 0, 0, 0, 0])).forInteractive.size,
@@ -47,15 +42,15 @@
       .toBe(0);
   });
 
-  it("are those with the most of them already", () => {
+  it("are those that already run the most of them", () => {
     const split = computeInteractiveSplit(buildLoaded([0, 2, 9, 0, 0, 0]));
     expect([...split.forInteractive]).toEqual(["i-2"]);
-    expect([...split.notForLong]).toEqual(["i-2"]);
+    expect([...split.closedToLongPrompts]).toEqual(["i-2"]);
   });
 
-  it("grow with them, up to half of the pool", () => {
+  it("grow in number with the streams, up to half of the pool", () => {
     for (const replicas of [1, 2, 3]) {
-      const interactive = [STREAMS_OF_ONE * replicas, 0, 0, 0, 0, 0];
+      const interactive = [STREAMS_PER_REPLICA * replicas, 0, 0, 0, 0, 0];
       expect(
         computeInteractiveSplit(buildLoaded(interactive)).forInteractive.size,
       ).toBe(replicas);
@@ -66,8 +61,8 @@
     expect(split.forInteractive.size).toBe(3);
   });
 
-  it("are as few as hold them where long prompts need the others", () => {
-    const interactive = [2 * STREAMS_OF_ONE - 1, 0, 0, 0, 0, 0];
+  it("are as few as can run the streams where long prompts need the others", () => {
+    const interactive = [2 * STREAMS_PER_REPLICA - 1, 0, 0, 0, 0, 0];
     const count = (shareOfOthers: number) => {
       const loaded = buildLoaded(interactive, shareOfOthers);
       loaded[0]!.prefillShare = 0.1;
@@ -77,22 +72,24 @@
     expect(count(0.9)).toBe(1);
   });
 
-  // Symptom: in a burst of interactive streams they pause beside each other's
-  // prompts.
-  // Cause: their replica had slots left, and no time.
-  it("are more where the interactive streams' own prompts keep one busy", () => {
-    const loaded = buildLoaded([2 * STREAMS_OF_ONE - 1, 0, 0, 0, 0, 0], 0.9);
+  // Guards against interactive streams that pause for each other's prompts in a
+  // burst: their replica had free slots, but no time left.
+  it("are more where the streams' own prompts keep one busy", () => {
+    const loaded = buildLoaded(
+      [2 * STREAMS_PER_REPLICA - 1, 0, 0, 0, 0, 0],
+      0.9,
+    );
     expect(computeInteractiveSplit(loaded).forInteractive.size).toBe(2);
   });
 
-  it("take no long prompt before their interactive streams have ended", () => {
+  it("take no long prompts until their interactive streams have ended", () => {
     const split = computeInteractiveSplit(buildLoaded([14, 9, 2, 0, 0, 0]));
     expect([...split.forInteractive]).toEqual(["i-0"]);
-    expect([...split.notForLong]).toEqual(["i-0", "i-1"]);
+    expect([...split.closedToLongPrompts]).toEqual(["i-0", "i-1"]);
   });
 
-  it("are those that read least where more are needed", () => {
-    const loaded = buildLoaded([STREAMS_OF_ONE + 1, 0, 0, 0, 0, 0]);
+  it("are those with the least prefill where more are needed", () => {
+    const loaded = buildLoaded([STREAMS_PER_REPLICA + 1, 0, 0, 0, 0, 0]);
     loaded.forEach((each) => each.prefillShare = 0.35);
     loaded[4]!.prefillShare = 0.1;
     loaded[0]!.prefillShare = 0;
@@ -102,7 +99,7 @@
     ]);
   });
 
-  it("are the same ones whatever order they are listed in", () => {
+  it("do not depend on the order in which replicas are listed", () => {
     const loaded = buildLoaded([1, 1, 1, 1, 1, 1]);
     const reversed = [...loaded].reverse();
     expect([...computeInteractiveSplit(reversed).forInteractive])
--- a/test/process/placement/locality_test.ts
+++ b/test/process/placement/locality_test.ts
@@ -15,7 +15,7 @@
 const SOUTH = toId<Region>("south");
 const WEST = toId<Region>("west");
 
-function createChooser(emptied: string[] = []): ReplicaChooser {
+function createChooser(evacuated: string[] = []): ReplicaChooser {
   const directory = ReplicaDirectory.create();
   const dataCentres = ["north-1", "south-1", "west-1", "unknown-1"];
   directory.apply({
@@ -26,7 +26,7 @@
         dataCentre: toId(dataCentre),
       })
     ),
-    evacuated: emptied.map((dataCentre) => toId(dataCentre)),
+    evacuated: evacuated.map((dataCentre) => toId(dataCentre)),
   });
   const state = PlacementState.create({
     clock: VirtualClock.create(),
@@ -56,23 +56,22 @@
   })?.replica.id;
 }
 
-// Symptom: a document is read in a region that its owner forbids.
-// Sequence: a caller connects to a VM of another region, or all replicas at
-// home are evacuated; the nearest replica takes the request.
-// Cause: the choice knew nothing of regions.
+// Guards against a document that is served in a region where its owner forbids
+// it: a caller connects to a VM of another region, or all replicas in its own
+// are evacuated, and the nearest replica takes the request.
 describe("a request that must stay within regions", () => {
-  it("goes there however far that is", () => {
+  it("goes to an allowed region however far away", () => {
     expect(choose(createChooser(), [NORTH])).toBe("i-north-1");
     expect(choose(createChooser(), [WEST])).toBe("i-west-1");
   });
 
-  it("goes nowhere rather than out of them", () => {
+  it("is not placed rather than placed outside of them", () => {
     expect(choose(createChooser(["north-1"]), [NORTH])).toBeUndefined();
     expect(choose(createChooser(["north-1"]), [NORTH, WEST]))
       .toBe("i-west-1");
   });
 
-  it("goes to no data centre whose region is not known", () => {
+  it("goes to no data centre whose region is unknown", () => {
     const chooser = createChooser(["north-1", "south-1", "west-1"]);
     expect(choose(chooser, [NORTH, SOUTH, WEST])).toBeUndefined();
     expect(choose(chooser)).toBe("i-unknown-1");
@@ -91,24 +90,24 @@
     callers: `vm-of-${dataCentre}`,
   }));
 
-  it("are of VMs in their region, while there are any", () => {
+  it("are those of VMs in the callers' region, where there are any", () => {
     expect(listNearAddresses(entries, SOUTH, locality))
       .toEqual(["vm-of-south-1"]);
   });
 
-  it("are all where their region has none, or is not told", () => {
+  it("are all where that region has none, or is unknown", () => {
     expect(listNearAddresses(entries, WEST, locality)).toHaveLength(2);
     expect(listNearAddresses(entries, undefined, locality)).toHaveLength(2);
   });
 });
 
-describe("regions of a route and a workspace", () => {
-  it("bind both", () => {
+describe("allowed regions of a route and a workspace", () => {
+  it("are those that both allow", () => {
     expect(findCommonRegions([NORTH, SOUTH], [SOUTH, WEST])).toEqual([SOUTH]);
     expect(findCommonRegions([NORTH], [WEST])).toEqual([]);
   });
 
-  it("bind where one of them has some", () => {
+  it("are those of one where the other names none", () => {
     expect(findCommonRegions([NORTH], undefined)).toEqual([NORTH]);
     expect(findCommonRegions(undefined, [WEST])).toEqual([WEST]);
     expect(findCommonRegions(undefined, undefined)).toBeUndefined();
--- a/test/process/placement/on_time_test.ts
+++ b/test/process/placement/on_time_test.ts
@@ -15,32 +15,34 @@
 
 const POOL_SIZE = 4;
 const TARGET_MS = 600;
-/** Callers leave after so long without output. */
-const PATIENCE_MS = 2_000;
+/** Callers give up after this time without output. */
+const CLIENT_TIMEOUT_MS = 2_000;
 const PROMPT_TOKENS = 6_000;
-/** An engine of the model reads so many tokens in a millisecond. */
+/** Prefill speed of an engine. */
 const TOKENS_PER_MS = 35;
 const STEP_MS = 5;
-/** Priorities of prompts that can be in time and of those that can not. */
-const ON_TIME = 1;
-const LATE = 2;
-const FLOOD_MS = 9_000;
-/** Prompts for 1.6 times as long as the pool has in a second. */
-const FLOOD_EVERY_MS = 27;
-/** The same for half of its time. */
-const CALM_EVERY_MS = 90;
-/** In a flood of 1.6 times the pool, one prompt in 1.6 at best is in time. */
-const BEST_IN_TIME = 1 / 1.6;
-/** The aim: three quarters of what is possible. */
-const LEAST_IN_TIME = 0.75 * BEST_IN_TIME;
+/** Priorities of prompts on time and of deferred ones. */
+const ON_TIME_PRIORITY = 1;
+const DEFERRED_PRIORITY = 2;
+const OVERLOAD_MS = 9_000;
+/** Prompts arrive at 1.6 times the rate that the pool can prefill. */
+const OVERLOAD_INTERVAL_MS = 27;
+/** Prompts arrive at half of that rate. */
+const CALM_INTERVAL_MS = 90;
+/** At 1.6 times the pool's rate, at best one prompt in 1.6 is on time. */
+const BEST_ON_TIME_SHARE = 1 / 1.6;
+/** Target: three quarters of what is possible. */
+const MIN_ON_TIME_SHARE = 0.75 * BEST_ON_TIME_SHARE;
 
 interface Prompt {
   lease: HeldLease;
-  askedAt: number;
+  requestedAt: number;
   leftTokens: number;
 }
 
-/** A pool whose engines read one prompt after the other, urgent ones first. */
+/**
+ * A pool whose engines prefill one prompt after the other, urgent ones first.
+ */
 class ModelPool {
   readonly clock = VirtualClock.create();
   readonly state = PlacementState.create({
@@ -52,7 +54,7 @@
   readonly priorities: number[] = [];
   readonly #source: PlacementSource;
   readonly #queues = new Map<VmId, Prompt[]>();
-  #asked = 0;
+  #requested = 0;
 
   constructor() {
     const directory = ReplicaDirectory.create();
@@ -73,8 +75,8 @@
   }
 
   async add(changes: Partial<LeaseRequest> = {}): Promise<HeldLease> {
-    this.#asked += 1;
-    const request = buildRequest(this.#asked, changes);
+    this.#requested += 1;
+    const request = buildRequest(this.#requested, changes);
     const lease = await this.#source.acquire(request, {
       signal: new AbortController().signal,
       onStep: () => {},
@@ -83,22 +85,22 @@
     this.#queues.set(lease.upstream, queue);
     queue.push({
       lease,
-      askedAt: this.clock.now(),
+      requestedAt: this.clock.now(),
       leftTokens: request.promptTokens,
     });
     this.priorities.push(lease.priority);
     return lease;
   }
 
-  /** Lets the engines read for one step. */
+  /** Lets the engines prefill for one step. */
   async runStep(): Promise<void> {
     await this.clock.run(STEP_MS);
-    for (const queue of this.#queues.values()) this.#readFrom(queue);
+    for (const queue of this.#queues.values()) this.#runQueue(queue);
   }
 
-  /** Adds a prompt so often for `forMs`. */
+  /** Adds a prompt every `everyMs` for `forMs`. */
   async runLoad(
-    everyMs: number,
+    intervalMs: number,
     forMs: number,
   ): Promise<void> {
     const endsAt = this.clock.now() + forMs;
@@ -106,35 +108,35 @@
     while (this.clock.now() < endsAt) {
       while (nextAt <= this.clock.now()) {
         await this.add();
-        nextAt += everyMs;
+        nextAt += intervalMs;
       }
       await this.runStep();
     }
   }
 
-  countInTime(): { inTime: number; all: number } {
-    const inTime = this.firstOutputMs.filter((ms) => ms <= TARGET_MS);
-    return { inTime: inTime.length, all: this.firstOutputMs.length };
+  countOnTime(): { onTime: number; all: number } {
+    const onTime = this.firstOutputMs.filter((ms) => ms <= TARGET_MS);
+    return { onTime: onTime.length, all: this.firstOutputMs.length };
   }
 
-  #readFrom(queue: Prompt[]): void {
+  #runQueue(queue: Prompt[]): void {
     let left = TOKENS_PER_MS * STEP_MS;
     while (left > 0 && queue.length > 0) {
       queue.sort((a, b) =>
-        a.lease.priority - b.lease.priority || a.askedAt - b.askedAt
+        a.lease.priority - b.lease.priority || a.requestedAt - b.requestedAt
       );
       const [first] = queue as [Prompt];
-      const read = Math.min(left, first.leftTokens);
-      left -= read;
-      first.leftTokens -= read;
+      const tokens = Math.min(left, first.leftTokens);
+      left -= tokens;
+      first.leftTokens -= tokens;
       if (first.leftTokens > 0) return;
       queue.shift();
-      this.#end(first);
+      this.#endPrompt(first);
     }
   }
 
-  #end({ lease, askedAt }: Prompt): void {
-    const ms = this.clock.now() - askedAt;
+  #endPrompt({ lease, requestedAt }: Prompt): void {
+    const ms = this.clock.now() - requestedAt;
     const progress = {
       tokens: 1,
       firstTokenMs: ms,
@@ -168,80 +170,80 @@
     partTokens: [PROMPT_TOKENS],
     isInteractive: false,
     firstOutputMs: TARGET_MS,
-    clientTimeoutMs: PATIENCE_MS,
-    priority: ON_TIME,
-    latePriority: LATE,
+    clientTimeoutMs: CLIENT_TIMEOUT_MS,
+    priority: ON_TIME_PRIORITY,
+    latePriority: DEFERRED_PRIORITY,
     avoid: [],
     ...changes,
   };
 }
 
-// The load: for nine seconds 1.6 times the prompts that a pool can read.
-// Symptom: nearly all answers begin late, though the replicas read all the
-// time.
-// Sequence: in the first second more come than can be read; from then on each
-// prompt waits for the queue that stands since.
-// Cause: prompts were read in the order in which they came, those that were
-// late already before those that could still be in time.
-describe("long prompts in a flood", () => {
-  it("begin in time for the most part of what the pool can read", async () => {
+// Guards against nearly all answers being late under overload although the
+// replicas prefill all the time. For nine seconds, 1.6 times as many prompts
+// arrive as the pool can prefill. If they are served in order of arrival, each
+// waits behind a queue that builds up in the first second, and late prompts go
+// before those that could still be on time.
+describe("long prompts under overload", () => {
+  it("are on time for most of what the pool can prefill", async () => {
     const pool = new ModelPool();
-    await pool.runLoad(FLOOD_EVERY_MS, FLOOD_MS);
-    const { inTime } = pool.countInTime();
-    const asked = FLOOD_MS / FLOOD_EVERY_MS;
-    expect(inTime / asked).toBeGreaterThan(LEAST_IN_TIME);
+    await pool.runLoad(OVERLOAD_INTERVAL_MS, OVERLOAD_MS);
+    const { onTime } = pool.countOnTime();
+    const requested = OVERLOAD_MS / OVERLOAD_INTERVAL_MS;
+    expect(onTime / requested).toBeGreaterThan(MIN_ON_TIME_SHARE);
   });
 
-  it("are all sent on, those that are late behind the others", async () => {
+  it("are all sent on, late ones as deferred", async () => {
     const pool = new ModelPool();
-    await pool.runLoad(FLOOD_EVERY_MS, FLOOD_MS);
-    expect(new Set(pool.priorities)).toEqual(new Set([ON_TIME, LATE]));
+    await pool.runLoad(OVERLOAD_INTERVAL_MS, OVERLOAD_MS);
+    expect(new Set(pool.priorities)).toEqual(
+      new Set([ON_TIME_PRIORITY, DEFERRED_PRIORITY]),
+    );
   });
 
-  it("are all in time in calm, and none goes behind another", async () => {
+  it("are all on time at low load, and none is deferred", async () => {
     const pool = new ModelPool();
-    await pool.runLoad(CALM_EVERY_MS, FLOOD_MS);
-    const { inTime, all } = pool.countInTime();
-    expect(inTime).toBe(all);
-    expect(new Set(pool.priorities)).toEqual(new Set([ON_TIME]));
+    await pool.runLoad(CALM_INTERVAL_MS, OVERLOAD_MS);
+    const { onTime, all } = pool.countOnTime();
+    expect(onTime).toBe(all);
+    expect(new Set(pool.priorities)).toEqual(new Set([ON_TIME_PRIORITY]));
   });
 
-  // Symptom: the longest documents alone are never in time.
-  // Cause: a prompt had to fit in with its whole length.
-  it("get their turn however long they are", async () => {
+  // Guards against the longest documents never being on time, because the whole
+  // length of a prompt had to fit into the target.
+  it("are not deferred however long they are", async () => {
     const pool = new ModelPool();
     const long = await pool.add({
       promptTokens: 40_000,
       partTokens: [40_000],
     });
-    expect(long.priority).toBe(ON_TIME);
+    expect(long.priority).toBe(ON_TIME_PRIORITY);
   });
 });
 
-// Symptom: a third of the prompts of a flood run until their deadline.
-// Sequence: prompts that are late wait for seconds behind others; when they are
-// read at last there is no time left for their streams.
-// Cause: their callers were still there, so they were read in vain.
+// Guards against prompts that run until their deadline: deferred prompts wait
+// for seconds and are prefilled with no time left for their streams, while
+// their callers still wait. A third of the prompts did so under overload.
 describe("a prompt whose caller waits for most of its time", () => {
-  it("takes its turn, however late that is", async () => {
+  it("is not deferred, however late it is", async () => {
     const pool = new ModelPool();
     await pool.runLoad(1, 120);
-    const patient = await pool.add({ clientTimeoutMs: 4_000 });
-    expect(patient.priority).toBe(ON_TIME);
+    const waiting = await pool.add({ clientTimeoutMs: 4_000 });
+    expect(waiting.priority).toBe(ON_TIME_PRIORITY);
     const unknown = await pool.add({ clientTimeoutMs: undefined });
-    expect(unknown.priority).toBe(ON_TIME);
+    expect(unknown.priority).toBe(ON_TIME_PRIORITY);
   });
 });
 
-describe("a prompt that goes behind others", () => {
-  it("is no wait for those in time", async () => {
+describe("a deferred prompt", () => {
+  it("does not count as a wait for prompts on time", async () => {
     const pool = new ModelPool();
     await pool.runLoad(1, 120);
-    const late = await pool.add();
-    const pending = () => pool.state.loads.getLoad(late.upstream).pendingTokens;
+    const deferred = await pool.add();
+    const pending = () =>
+      pool.state.loads.getLoad(deferred.upstream).pendingTokens;
     const before = pending();
-    expect(late.priority).toBe(LATE);
-    late.release("cancelled", {
+    expect(deferred.priority).toBe(DEFERRED_PRIORITY);
+    deferred.release("cancelled", {
       tokens: 0,
       firstTokenMs: undefined,
       betweenTokensMs: undefined,
@@ -249,29 +251,28 @@
     expect(pending()).toBe(before);
   });
 
-  it("is not taken for one at a dead replica while it waits", async () => {
+  it("does not make its replica count as dead while it waits", async () => {
     const pool = new ModelPool();
     await pool.runLoad(1, 120);
-    const late = await pool.add();
+    const deferred = await pool.add();
     await pool.clock.run(1_500);
-    expect(late.isUpstreamAlive()).toBe(true);
+    expect(deferred.isUpstreamAlive()).toBe(true);
     await pool.clock.run(1_000);
-    expect(late.isUpstreamAlive()).toBe(false);
+    expect(deferred.isUpstreamAlive()).toBe(false);
   });
 });
 
 describe("a first output", () => {
-  it("is in time with some to spare for what cannot be foreseen", () => {
-    expect(isOnTime({ waitMs: 300, ownMs: 100 }, TARGET_MS)).toBe(true);
-    expect(isOnTime({ waitMs: 500, ownMs: 100 }, TARGET_MS)).toBe(false);
+  it("is on time only with a margin for errors of the prediction", () => {
+    expect(isOnTime({ waitMs: 300, prefillMs: 100 }, TARGET_MS)).toBe(true);
+    expect(isOnTime({ waitMs: 500, prefillMs: 100 }, TARGET_MS)).toBe(false);
   });
 });
 
-// Symptom: replicas that have just started fall over.
-// Sequence: all replicas of a pool start again; each VM sends what it has.
-// Cause: a request was sent on although nothing bears it.
-describe("a request that no replica bears yet", () => {
-  it("is refused at once, as not run, with a time to come back", async () => {
+// Guards against replicas that crash right after their start: all replicas of a
+// pool restart, and each VM sends what it has, more than they sustain.
+describe("a request for which no replica has capacity yet", () => {
+  it("is refused at once as not run, with spread retry times", async () => {
     const clock = VirtualClock.create();
     const directory = ReplicaDirectory.create();
     const source = PlacementSource.create({
--- a/test/process/placement/part_holders_test.ts
+++ b/test/process/placement/part_holders_test.ts
@@ -25,13 +25,12 @@
   return holders.map(({ replica }) => replica.id);
 }
 
-// The load: prompts about hundreds of documents on fifty replicas.
-// Symptom: every replica reads every document, and again a few seconds later.
-// Sequence: each prompt goes where least waits; what a replica caches yields
-// to the next documents before it is used again.
-// Cause: nothing kept the prompts of one document together.
+// Guards against every replica prefilling every document again and again. With
+// prompts about hundreds of documents on fifty replicas, each prompt goes to
+// the least loaded replica, which evicts cached parts before they are used
+// again.
 describe("the holders of a shared part", () => {
-  it("are two of a large pool, the same in any order", () => {
+  it("are two in a large pool, the same in any order", () => {
     const pool = buildPool(50);
     for (const part of PARTS) {
       const names = listNames(listHolders(pool, part, pool.length));
@@ -41,7 +40,7 @@
     }
   });
 
-  it("give each replica a like number of parts to keep", () => {
+  it("are spread evenly over the replicas", () => {
     const pool = buildPool(50);
     const counts = new Map<VmId, number>();
     for (const part of PARTS) {
@@ -53,7 +52,7 @@
     expect(Math.max(...counts.values())).toBeLessThan(40);
   });
 
-  it("stay the same for all but the parts of one that leaves", () => {
+  it("change only for the parts of a replica that leaves", () => {
     const pool = buildPool(50);
     const rest = pool.slice(1);
     const moved = PARTS.filter((part) => {
@@ -72,12 +71,12 @@
     const joined = listNames(listHolders(pool, hot, pool.length));
     expect(joined).toHaveLength(4);
     expect(joined.slice(0, 2)).toEqual(listNames(first));
-    // All alike are not far behind each other.
+    // Equally loaded holders are not far behind.
     for (const { load } of pool) load.pendingTokens = 60_000;
     expect(listHolders(pool, hot, pool.length)).toHaveLength(2);
   });
 
-  it("are all in a small pool, and where nothing is shared", () => {
+  it("are all replicas in a small pool, and without a shared part", () => {
     const pool = buildPool(6);
     expect(listHolders(pool, PARTS[0], pool.length)).toHaveLength(6);
     const large = buildPool(50);
--- a/test/process/placement/placement_choice_test.ts
+++ b/test/process/placement/placement_choice_test.ts
@@ -51,8 +51,8 @@
   return choosePlacement(replicas, needs, knowledge)!.replica.id;
 }
 
-describe("where a prompt goes", () => {
-  it("is the replica that has read its parts", () => {
+describe("the replica for a prompt", () => {
+  it("is the one that has cached its parts", () => {
     const replicas = buildReplicas(6);
     for (const { id } of replicas) {
       const state = createState();
@@ -61,14 +61,14 @@
     }
   });
 
-  it("is the same for every VM that knows nothing of it", () => {
+  it("is the same for every VM that has not seen its parts", () => {
     const replicas = buildReplicas(6);
     const first = choose(replicas, DOCUMENT, createState());
     expect(choose([...replicas].reverse(), DOCUMENT, createState()))
       .toBe(first);
   });
 
-  it("is another one where too much is to be read before it", () => {
+  it("is another one where the holder has too long a queue", () => {
     const replicas = buildReplicas(3);
     const state = createState();
     const [holder] = replicas;
@@ -78,14 +78,11 @@
     expect(choose(replicas, DOCUMENT, state)).not.toBe(holder!.id);
   });
 
-  // Symptom: streams pause for longer than their callers accept.
-  // Sequence: long prompts are read on replicas where many streams run.
-  // Cause: a replica reads between the tokens of all its streams.
-  // Symptom: after a burst, queues stay long although nothing new needs them.
-  // Sequence: the replica that holds a part has some prompts waiting, as all
-  // have; the next prompts read the part again at another one.
-  // Cause: a prefill was as cheap with prompts waiting everywhere as with none.
-  it("is where its parts are, the more the busier all are", () => {
+  // Guards against queues that stay long after a burst. All replicas have
+  // prompts waiting, including the one that holds a part, and the next prompts
+  // go to another one, which prefills the part again: a prefill cost no more
+  // with prompts waiting everywhere than with none.
+  it("is the holder of its parts where all queues are equally long", () => {
     const replicas = buildReplicas(6);
     const state = createState();
     const [holder] = replicas;
@@ -97,12 +94,10 @@
     expect(choose(replicas, DOCUMENT, state)).toBe(holder!.id);
   });
 
-  // Symptom: four times as many tokens of shared parts are read again.
-  // Sequence: in a flood late prompts go wherever least runs, and their shared
-  // parts are read there once more.
-  // Cause: prompts that are late counted as no load, so that all replicas
-  // seemed idle, and reading a part again as cheap as in calm.
-  it("is where its parts are, the more late prompts wait everywhere", () => {
+  // Guards against shared parts being prefilled four times as often under
+  // overload: deferred prompts did not count as load, so all replicas seemed
+  // idle, and prefilling a part again seemed cheap.
+  it("is the holder of its parts where deferred prompts wait everywhere", () => {
     const replicas = buildReplicas(6);
     const state = createState();
     const late = { ...DOCUMENT, isDeferred: true };
@@ -119,7 +114,9 @@
     expect(choose(replicas, late, state)).toBe(holder!.id);
   });
 
-  it("keeps documents from where interactive streams run, and interactive streams from documents", () => {
+  // Guards against streams that pause for longer than their callers accept: an
+  // engine prefills long prompts between the tokens of all its streams.
+  it("keeps documents and interactive streams apart", () => {
     const replicas = buildReplicas(2);
     const state = createState();
     const [interactive, prefill] = replicas.map(({ id }) => id);
@@ -134,10 +131,10 @@
     expect(choose(replicas, INTERACTIVE, state)).toBe(interactive);
   });
 
-  // Symptom: over a hundred requests wait at one replica, others idle.
-  // Sequence: a replica crashes; all its streams look for another at once.
-  // Cause: the emptiest was chosen however many had just chosen it.
-  it("spreads what a crash sets free", () => {
+  // Guards against over a hundred requests waiting at one replica while others
+  // are idle: after a crash, all its streams look for another replica at once,
+  // and the emptiest was chosen by all of them.
+  it("is not the same one for all requests that a crash cut off", () => {
     const replicas = buildReplicas(4);
     const state = createState();
     const counts = new Map<VmId, number>();
@@ -152,11 +149,11 @@
     expect(Math.max(...counts.values())).toBeLessThanOrEqual(64);
   });
 
-  it("counts what other VMs told, until it is old", async () => {
+  it("depends on the loads of other VMs until their reports expire", async () => {
     const clock = VirtualClock.create();
     const state = createState(clock);
     const id = toId<VmId>("i-0");
-    state.loads.putPeer(toId("vm-2"), [[id, 5_000, 3, 1, 0]]);
+    state.loads.putPeerLoads(toId("vm-2"), [[id, 5_000, 3, 1, 0]]);
     expect(state.loads.getLoad(id))
       .toEqual({
         pendingTokens: 5_000,
@@ -170,10 +167,10 @@
 });
 
 describe("a replica's health", () => {
-  // Symptom: a replica that fails half of its requests gets its full share.
-  // Sequence: its health check is good, its entry says ready.
-  // Cause: results of requests were not looked at.
-  it("leaves it out after failures, longer each time", async () => {
+  // Guards against a replica that fails half of its requests and still gets its
+  // full share, because its health check passes and its entry says that it is
+  // ready.
+  it("ejects it after failures, for longer each time", async () => {
     const clock = VirtualClock.create();
     const ejected: number[] = [];
     const state = PlacementState.create({
@@ -192,7 +189,7 @@
     expect(ejected).toEqual([500, 1_000]);
   });
 
-  it("bears a failure among many answers", () => {
+  it("tolerates a few failures among many answers", () => {
     const state = createState();
     const id = toId<VmId>("i-0");
     for (let index = 0; index < 20; index++) state.health.noteResult(id, true);
@@ -201,7 +198,7 @@
     expect(state.health.isEjected(id)).toBe(false);
   });
 
-  it("goes by what other VMs told as well", () => {
+  it("counts the results of other VMs", () => {
     const state = createState();
     const id = toId<VmId>("i-0");
     state.health.notePeerResults([[id, 0, 2]]);
@@ -210,7 +207,7 @@
 });
 
 describe("a replica's speed", () => {
-  it("is learnt, and forgotten where nothing more is heard", async () => {
+  it("is estimated from samples, and forgotten without new ones", async () => {
     const clock = VirtualClock.create();
     const state = createState(clock);
     const id = toId<VmId>("i-0");
--- a/test/process/placement/prefix_priming_test.ts
+++ b/test/process/placement/prefix_priming_test.ts
@@ -13,7 +13,7 @@
 function createPriming(sources: Partial<PrimingSources>) {
   const clock = VirtualClock.create();
   const prefixes = PrefixIndex.create(clock);
-  const asked: string[] = [];
+  const fetchedFrom: string[] = [];
   const priming = PrefixPriming.create({
     clock,
     log: SilentLog.create(),
@@ -21,58 +21,58 @@
     sources: {
       listPrimedPeers: () => [],
       fetchFromPeer: (vm) => {
-        asked.push(vm);
+        fetchedFrom.push(vm);
         return Promise.resolve([[REPLICA, ["part"], 0]]);
       },
       listReplicas: () => [REPLICA],
       fetchFromReplica: (replica) => {
-        asked.push(replica);
+        fetchedFrom.push(replica);
         return Promise.resolve(["part"]);
       },
       isResponsible: () => true,
       ...sources,
     },
   });
-  return { clock, prefixes, priming, asked };
+  return { clock, prefixes, priming, fetchedFrom };
 }
 
 describe("a VM that has just started", () => {
-  // Symptom: all answers are late for seconds after all VMs were killed.
-  // Sequence: VMs come back; prompts go to replicas that have not read them.
-  // Cause: what VMs knew of replicas' caches was lost with them.
-  it("asks the replicas where no VM knows", async () => {
+  // Guards against answers that are late for seconds after a restart of all
+  // VMs: their prefix indexes are lost, and prompts go to replicas that have
+  // not cached them.
+  it("asks the replicas where no VM has a filled index", async () => {
     const { clock, prefixes, priming } = createPriming({});
     const ended = priming.run(new AbortController().signal);
     await clock.run(1_000);
     await ended;
-    expect(prefixes.countHeld(REPLICA, ["part"])).toBe(1);
+    expect(prefixes.countCached(REPLICA, ["part"])).toBe(1);
     expect(priming.isPrimed).toBe(true);
   });
 
-  it("asks a VM that knows, and no replica", async () => {
-    const { clock, prefixes, priming, asked } = createPriming({
+  it("asks a VM with a filled index, and no replica", async () => {
+    const { clock, prefixes, priming, fetchedFrom } = createPriming({
       listPrimedPeers: () => [toId("vm-2")],
     });
     const ended = priming.run(new AbortController().signal);
     await clock.run(1_000);
     await ended;
-    expect(asked).toEqual(["vm-2"]);
-    expect(prefixes.countHeld(REPLICA, ["part"])).toBe(1);
+    expect(fetchedFrom).toEqual(["vm-2"]);
+    expect(prefixes.countCached(REPLICA, ["part"])).toBe(1);
   });
 
-  it("leaves the asking to one VM, and does it if that one is silent", async () => {
-    const { clock, priming, asked } = createPriming({
+  it("leaves asking the replicas to one VM, and asks if that does not answer", async () => {
+    const { clock, priming, fetchedFrom } = createPriming({
       isResponsible: () => false,
     });
     const ended = priming.run(new AbortController().signal);
     await clock.run(1_500);
-    expect(asked).toEqual([]);
+    expect(fetchedFrom).toEqual([]);
     await clock.run(2_000);
     await ended;
-    expect(asked).toEqual([REPLICA]);
+    expect(fetchedFrom).toEqual([REPLICA]);
   });
 
-  it("serves on where a replica does not answer", async () => {
+  it("completes where a replica does not answer", async () => {
     const { clock, priming } = createPriming({
       fetchFromReplica: () => Promise.reject(new Error("busy")),
     });
--- a/test/process/placement/replica_back_offs_test.ts
+++ b/test/process/placement/replica_back_offs_test.ts
@@ -7,8 +7,8 @@
 
 function createBackOffs() {
   const clock = VirtualClock.create();
-  const told: number[] = [];
-  const backOffs = ReplicaBackOffs.create(clock, (_id, ms) => told.push(ms));
+  const logged: number[] = [];
+  const backOffs = ReplicaBackOffs.create(clock, (_id, ms) => logged.push(ms));
   const note = (backOffMs: number) =>
     backOffs.noteSignals(REPLICA, {
       requestsPerS: undefined,
@@ -16,11 +16,11 @@
       backOffMs,
       unreadable: [],
     });
-  return { clock, told, backOffs, note };
+  return { clock, logged, backOffs, note };
 }
 
-it("leaves a replica alone for the longest time that it asked for", async () => {
-  const { clock, told, backOffs, note } = createBackOffs();
+it("backs off for the longest time that a replica asked for", async () => {
+  const { clock, logged, backOffs, note } = createBackOffs();
   note(0);
   expect(backOffs.isBackingOff(REPLICA)).toBe(false);
   note(3_000);
@@ -31,10 +31,10 @@
   expect(backOffs.list()).toEqual([REPLICA]);
   await clock.run(2_500);
   expect(backOffs.isBackingOff(REPLICA)).toBe(false);
-  expect(told).toEqual([3_000]);
+  expect(logged).toEqual([3_000]);
 });
 
-it("forgets a replica that is not listed any more", () => {
+it("forgets a replica that is no longer listed", () => {
   const { backOffs, note } = createBackOffs();
   note(3_000);
   backOffs.dropUnlisted(() => false);
--- a/test/process/placement/replica_chooser_test.ts
+++ b/test/process/placement/replica_chooser_test.ts
@@ -42,11 +42,10 @@
   };
 }
 
-// Symptom: requests wait at one replica while others have nothing to do.
-// Sequence: eighteen VMs get a request each at the same moment and ask the
-// owner, before any of them has told of its work again.
-// Cause: the owner chose by what VMs had told, which was the same each time.
-describe("a VM that chooses for others", () => {
+// Guards against requests that wait at one replica while others are idle.
+// Eighteen VMs request a placement at the same moment; an owner that counts
+// only reported loads makes the same choice for all of them.
+describe("a VM that chooses for other VMs", () => {
   for (const promptTokens of [0, 600, 9_000]) {
     it(`spreads ${VMS} prompts of ${promptTokens} tokens`, () => {
       const { chooser } = createChooser();
@@ -69,7 +68,7 @@
     });
   }
 
-  it("knows of no replica of another pool", () => {
+  it("finds no replica for a pool that has none", () => {
     const { chooser } = createChooser();
     const request = {
       pool: toId<PoolName>("other"),
@@ -84,9 +83,10 @@
   });
 });
 
-// Guards against requests that one crash cut meeting again at the next replica:
-// nothing would tell the one that crashes replicas from those beside it.
-it("suspects are spread, and not sent to the best replica", () => {
+// Guards against requests that were cut off by one crash meeting again at the
+// next replica: nothing would tell the one that crashes replicas from the
+// others.
+it("spreads suspects instead of sending them to the best replica", () => {
   const { chooser } = createChooser();
   const chosen = Array.from({ length: 60 }, () =>
     chooser.choose({
--- a/test/process/placement/replica_list_test.ts
+++ b/test/process/placement/replica_list_test.ts
@@ -8,36 +8,36 @@
 
 interface TestDirectory {
   directory: ReplicaDirectory;
-  told: string[];
-  /** Takes the next list in. */
+  logged: string[];
+  /** Applies the next list. */
   list: (...replicas: ListedReplica[]) => void;
   listReady: () => string[];
 }
 
 function createDirectory(revision = 0): TestDirectory {
-  const told: string[] = [];
-  const directory = ReplicaDirectory.create((id) => told.push(id));
+  const logged: string[] = [];
+  const directory = ReplicaDirectory.create((id) => logged.push(id));
   const list = (...replicas: ListedReplica[]) => {
     revision += 1;
     directory.apply({ revision, replicas });
   };
   const listReady = () => directory.listReady(FIRST.pool).map(({ id }) => id);
-  return { directory, told, list, listReady };
+  return { directory, logged, list, listReady };
 }
 
-describe("a replica that said that it leaves", () => {
-  it("takes no new work, whatever the list says of it", () => {
-    const { directory, told, list, listReady } = createDirectory();
+describe("a replica that announced that it leaves", () => {
+  it("takes no new work even if it is listed as ready", () => {
+    const { directory, logged, list, listReady } = createDirectory();
     list(FIRST, SECOND);
     directory.noteLeaving(FIRST.id);
     directory.noteLeaving(FIRST.id);
     expect(directory.isReady(FIRST.id)).toBe(false);
     list(FIRST, SECOND);
     expect(listReady()).toEqual([SECOND.id]);
-    expect(told).toEqual([FIRST.id]);
+    expect(logged).toEqual([FIRST.id]);
   });
 
-  it("takes none while its data centre's evacuation ends, either", () => {
+  it("takes none after its data centre's evacuation has ended", () => {
     const { directory, list } = createDirectory();
     list(FIRST);
     directory.apply({
@@ -50,7 +50,7 @@
     expect(directory.isReady(FIRST.id)).toBe(false);
   });
 
-  it("is another process once it was not listed, or has started again", () => {
+  it("takes work again as a new process, once unlisted or restarted", () => {
     const { directory, list, listReady } = createDirectory();
     list(FIRST, SECOND);
     directory.noteLeaving(FIRST.id);
@@ -60,7 +60,7 @@
     expect(listReady()).toEqual([FIRST.id, SECOND.id]);
   });
 
-  it("is known from another VM", () => {
+  it("is excluded on a report of another VM", () => {
     const first = createDirectory();
     const second = createDirectory();
     first.list(FIRST, SECOND);
@@ -70,7 +70,7 @@
     expect(second.listReady()).toEqual([SECOND.id]);
   });
 
-  it("is known to a VM that starts later", () => {
+  it("is excluded by a VM that starts later", () => {
     const first = createDirectory();
     first.list(FIRST);
     first.directory.noteLeaving(FIRST.id);
@@ -81,7 +81,8 @@
     expect(fresh.listReady()).toEqual([SECOND.id]);
   });
 
-  // Guards against VMs that keep telling each other of a process that is gone.
+  // Guards against VMs that keep reporting to each other a process that is
+  // gone.
   it("is not confused with the next process by a VM that lags", () => {
     const lagging = createDirectory();
     lagging.list(FIRST);
@@ -94,7 +95,7 @@
     expect(ahead.listReady()).toEqual([FIRST.id, SECOND.id]);
   });
 
-  it("is told of while it is listed as ready", () => {
+  it("is reported while it is listed as ready", () => {
     const { directory, list } = createDirectory();
     list(FIRST);
     directory.noteLeaving(FIRST.id);
--- a/test/process/placement/replica_liveness_test.ts
+++ b/test/process/placement/replica_liveness_test.ts
@@ -12,7 +12,7 @@
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 const PROGRESS = { tokens: 1, firstTokenMs: 1, betweenTokensMs: undefined };
-/** Beyond the time for which one byte counts as a sign of life. */
+/** Longer than one byte counts as a sign of life. */
 const SILENT_MS = 1_500;
 
 function createPool() {
@@ -70,11 +70,10 @@
   }, { signal, onStep: () => {} });
 }
 
-// The load: replicas read long prompts for seconds, and requests wait for their
-// first byte all the while.
-// Symptom: requests are cut off and sent to another replica that is as busy;
-// replicas that serve are left out as failing; no retry is left for real ones.
-// Cause: silence on one call was taken for the death of its replica.
+// Guards against requests that are cut off under load and sent to another
+// replica that is as busy, replicas ejected although they serve, and retries
+// used up. Replicas prefill long prompts for seconds without a byte to new
+// requests; silence on one call must not count as the replica's death.
 describe("a replica that is silent on one call", () => {
   it("is alive while it sends on another", async () => {
     const { clock, source } = createPool();
@@ -86,7 +85,7 @@
     expect(waiting.isUpstreamAlive()).toBe(true);
   });
 
-  it("is not once it sends nothing to anybody", async () => {
+  it("is not alive once it sends nothing on any call", async () => {
     const { clock, source } = createPool();
     const waiting = await acquire(source);
     (await acquire(source)).noteProgress(PROGRESS);
@@ -94,9 +93,9 @@
     expect(waiting.isUpstreamAlive()).toBe(false);
   });
 
-  // Sequence: the replica crashes and starts again under its id; its new
-  // process serves others, and never heard of the call.
-  it("is not for calls of before its restart", async () => {
+  // The replica crashes and restarts under the same id. Its new process serves
+  // others, but does not have the earlier request.
+  it("is not alive for calls from before its restart", async () => {
     const { source, list } = createPool();
     const before = await acquire(source);
     list(2, 2_000);
--- a/test/process/placement/replica_loads_test.ts
+++ b/test/process/placement/replica_loads_test.ts
@@ -5,14 +5,13 @@
 
 const [VM, REPLICA] = ["vm", "replica"].map((name) => toId<VmId>(name));
 
-// Symptom: an owner sends prompts to replicas that are full.
-// Sequence: a VM tells of its work, and only that it lives while nothing of it
-// changes: streams run for many seconds.
-// Cause: what a VM told is ignored after a second and a half.
-it("what a VM told of its work holds while it says so, and no longer", async () => {
+// Guards against an owner that sends prompts to full replicas. While its load
+// does not change, a VM only reports that it is alive; its last load report
+// would expire after 1.5 s, though its streams run on.
+it("keeps the load that a VM reported while that VM renews it, and no longer", async () => {
   const clock = VirtualClock.create();
   const loads = ReplicaLoads.create(clock, () => {});
-  loads.putPeer(VM!, [[REPLICA!, 500, 3, 1, 0]]);
+  loads.putPeerLoads(VM!, [[REPLICA!, 500, 3, 1, 0]]);
   for (let second = 0; second < 5; second++) {
     await clock.run(1_000);
     loads.notePeerAlive(VM!);
--- a/test/process/placement/replica_rate_limits_test.ts
+++ b/test/process/placement/replica_rate_limits_test.ts
@@ -12,30 +12,30 @@
 const REPLICA = buildListedReplica(1);
 const OTHER_VM = toId<VmId>("vm-other");
 const STEP_MS = 5;
-/** Between two VMs' words to each other. */
-const NEWS_EVERY_MS = 40;
-/** A VM has a request for the replica so often, in the mean. */
-const REQUEST_EVERY_MS = 100;
+/** Interval between updates from one VM to another. */
+const UPDATE_INTERVAL_MS = 40;
+/** Mean interval at which a VM has a request for the replica. */
+const MEAN_REQUEST_INTERVAL_MS = 100;
 const WINDOW_MS = 4_000;
-const FLOOD_MS = 40_000;
+const OVERLOAD_MS = 40_000;
 
 interface TestLimits {
   limits: ReplicaRateLimits;
-  told: (number | undefined)[];
+  logged: (number | undefined)[];
   note: (requestsPerS: number | undefined) => void;
 }
 
 function createLimits(
   clock: VirtualClock,
-  fleet: Partial<PlacementRole & { heard: number }> = {},
+  fleet: Partial<PlacementRole & { reachable: number }> = {},
 ): TestLimits {
-  const told: (number | undefined)[] = [];
+  const logged: (number | undefined)[] = [];
   const { role = "equal", others = [] } = fleet;
   const limits = ReplicaRateLimits.create({
     clock,
-    onChange: (_replica, perS) => told.push(perS),
+    onChange: (_replica, perS) => logged.push(perS),
     getRole: () => ({ role, others }),
-    countReachable: () => fleet.heard ?? others.length,
+    countReachable: () => fleet.reachable ?? others.length,
   });
   const note = (requestsPerS: number | undefined) =>
     limits.noteSignals(REPLICA.id, {
@@ -44,14 +44,14 @@
       backOffMs: 0,
       unreadable: [],
     });
-  return { limits, note, told };
+  return { limits, note, logged };
 }
 
 function listVms(count: number): VmId[] {
   return Array.from({ length: count }, (_, index) => toId(`vm-${index}`));
 }
 
-/** How many requests may go out in `ms`, where there is always one to send. */
+/** Number of requests that may be sent in `ms`, with one always waiting. */
 async function countSent(
   clock: VirtualClock,
   limits: ReplicaRateLimits,
@@ -59,7 +59,7 @@
 ): Promise<number> {
   let sent = 0;
   for (let at = 0; at < ms; at += STEP_MS) {
-    if (limits.hasRoom(REPLICA)) {
+    if (limits.hasCapacity(REPLICA)) {
       limits.addSent(REPLICA);
       sent += 1;
     }
@@ -68,8 +68,8 @@
   return sent;
 }
 
-/** When VMs that tell each other of what they send sent to the replica. */
-async function runFlood(
+/** Times at which VMs that update each other sent requests to the replica. */
+async function runOverload(
   vms: number,
   requestsPerS: number,
 ): Promise<number[]> {
@@ -82,18 +82,18 @@
   });
   all.forEach(({ note }) => note(requestsPerS));
   const sentAt: number[] = [];
-  for (let at = 0; at < FLOOD_MS; at += STEP_MS) {
+  for (let at = 0; at < OVERLOAD_MS; at += STEP_MS) {
     for (const { limits } of all) {
-      if (random.next() > STEP_MS / REQUEST_EVERY_MS) continue;
-      if (!limits.hasRoom(REPLICA)) continue;
+      if (random.next() > STEP_MS / MEAN_REQUEST_INTERVAL_MS) continue;
+      if (!limits.hasCapacity(REPLICA)) continue;
       limits.addSent(REPLICA);
       sentAt.push(at);
     }
-    if (at % NEWS_EVERY_MS === 0) {
+    if (at % UPDATE_INTERVAL_MS === 0) {
       for (const { vm, limits } of all) {
-        const news = limits.listUpdates();
+        const updates = limits.listUpdates();
         for (const other of all) {
-          if (other.vm !== vm) other.limits.applyUpdates(vm, news);
+          if (other.vm !== vm) other.limits.applyUpdates(vm, updates);
         }
       }
     }
@@ -102,16 +102,16 @@
   return sentAt;
 }
 
-function countMost(times: readonly number[]): number {
+function countMax(times: readonly number[]): number {
   const counts = times.map((from) =>
     times.filter((at) => at >= from && at < from + WINDOW_MS).length
   );
   return Math.max(0, ...counts);
 }
 
-describe("the limit of one replica", () => {
-  it("follows its last word, and is told of as it begins and ends", () => {
-    const { limits, note, told } = createLimits(VirtualClock.create());
+describe("the rate limit of one replica", () => {
+  it("follows its last answer, and is logged as it begins and ends", () => {
+    const { limits, note, logged } = createLimits(VirtualClock.create());
     const getLimit = () => limits.getLimit(REPLICA.id);
     note(Infinity);
     expect(getLimit()).toBeUndefined();
@@ -123,7 +123,7 @@
     note(1);
     note(Infinity);
     expect(getLimit()).toBeUndefined();
-    expect(told).toEqual([4, 1, undefined]);
+    expect(logged).toEqual([4, 1, undefined]);
   });
 
   it("is forgotten with the replica", () => {
@@ -133,7 +133,7 @@
     expect(limits.getLimit(REPLICA.id)).toBeUndefined();
   });
 
-  it("holds for one VM alone", async () => {
+  it("applies to a single VM", async () => {
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(4);
@@ -147,14 +147,14 @@
     const { limits, note } = createLimits(clock);
     note(1);
     await countSent(clock, limits, 500);
-    expect(limits.hasRoom(REPLICA)).toBe(false);
+    expect(limits.hasCapacity(REPLICA)).toBe(false);
     await clock.run(1);
     note(Infinity);
     expect(await countSent(clock, limits, 1_000)).toBe(1_000 / STEP_MS);
   });
 
-  // Guards against a replica that is never heard again.
-  it("lets a request through now and then where it is 0", async () => {
+  // Otherwise no further answer of the replica would ever arrive.
+  it("still admits a request now and then where it is 0", async () => {
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(0);
@@ -164,21 +164,21 @@
   });
 });
 
-describe("the limit of a fleet", () => {
+describe("the rate limit of a fleet", () => {
   for (const vms of [2, 8, 12]) {
     for (const requestsPerS of [2, 3.5, 20]) {
       it(`is kept and used by ${vms} VMs at ${requestsPerS} a second`, async () => {
-        const sentAt = await runFlood(vms, requestsPerS);
-        const most = 1.5 * requestsPerS * WINDOW_MS / 1_000 + 5;
-        expect(countMost(sentAt)).toBeLessThanOrEqual(most);
-        const whole = requestsPerS * FLOOD_MS / 1_000;
-        const wanted = vms * FLOOD_MS / REQUEST_EVERY_MS;
+        const sentAt = await runOverload(vms, requestsPerS);
+        const max = 1.5 * requestsPerS * WINDOW_MS / 1_000 + 5;
+        expect(countMax(sentAt)).toBeLessThanOrEqual(max);
+        const whole = requestsPerS * OVERLOAD_MS / 1_000;
+        const wanted = vms * OVERLOAD_MS / MEAN_REQUEST_INTERVAL_MS;
         expect(sentAt.length).toBeGreaterThan(0.8 * Math.min(whole, wanted));
       });
     }
   }
 
-  it("is known from another VM's answer, and ends by another's", async () => {
+  it("begins and ends with answers to another VM", async () => {
     const clock = VirtualClock.create();
     const first = createLimits(clock);
     const second = createLimits(clock);
@@ -191,7 +191,7 @@
     expect(second.limits.getLimit(REPLICA.id)).toBeUndefined();
   });
 
-  // Guards against an older word that comes late.
+  // Guards against an older answer that is reported late.
   it("follows the newest answer, whichever VM it came to", async () => {
     const clock = VirtualClock.create();
     const first = createLimits(clock);
@@ -207,24 +207,24 @@
     expect(second.limits.getLimit(REPLICA.id)).toBe(5);
   });
 
-  it("counts a message that is lost or comes twice once", () => {
+  it("tolerates lost and repeated messages", () => {
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(1);
-    const tell = (sent: number) => {
+    const applyReport = (sent: number) => {
       const entry: RateLimitEntry = [REPLICA.id, -1, -1, sent];
       limits.applyUpdates(OTHER_VM, [entry]);
     };
-    tell(3);
-    tell(5);
-    tell(5);
+    applyReport(3);
+    applyReport(5);
+    applyReport(5);
     expect(limits.computeWaitMs(REPLICA)).toBe(2_000);
-    // A VM that has started again counts from the beginning.
-    tell(1);
+    // A VM that has restarted counts from 0.
+    applyReport(1);
     expect(limits.computeWaitMs(REPLICA)).toBe(3_000);
   });
 
-  it("is not told of where nothing is sent or heard", async () => {
+  it("is not reported without requests or answers", async () => {
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(1);
@@ -233,7 +233,7 @@
     expect(limits.listUpdates()).toEqual([]);
   });
 
-  it("is told of for a while once it has ended, and then no more", async () => {
+  it("is reported for a while after it has ended, and then no more", async () => {
     const clock = VirtualClock.create();
     const { limits, note } = createLimits(clock);
     note(1);
@@ -244,17 +244,17 @@
     expect(limits.listUpdates()).toEqual([]);
   });
 
-  it("is shared with VMs that are not heard", async () => {
+  it("is shared with VMs that are unreachable", async () => {
     const clock = VirtualClock.create();
     const others = listVms(7);
-    const { limits, note } = createLimits(clock, { others, heard: 1 });
+    const { limits, note } = createLimits(clock, { others, reachable: 1 });
     note(8);
     const sent = await countSent(clock, limits, 10_000);
     expect(sent).toBeGreaterThanOrEqual(19);
     expect(sent).toBeLessThanOrEqual(22);
   });
 
-  it("is the owner's and its substitute's but for a part", async () => {
+  it("belongs to the owner except for the share of isolated VMs", async () => {
     const others = listVms(99);
     const sent: Record<string, number> = {};
     for (const role of ["owner", "alone", "unsettled"] as const) {
--- a/test/process/placement/slow_start_test.ts
+++ b/test/process/placement/slow_start_test.ts
@@ -10,12 +10,12 @@
 
 const WARM_UP = { ms: 3_000, requestsPerS: 6 };
 const EXCESS = { ratio: 1.5, slack: 5 };
-/** Requests in any second beyond which a replica may fall over. */
-const MOST_PER_S = EXCESS.ratio * WARM_UP.requestsPerS + EXCESS.slack;
+/** Requests in any second beyond which a replica may crash. */
+const MAX_PER_S = EXCESS.ratio * WARM_UP.requestsPerS + EXCESS.slack;
 const FLEET = listVms(89);
-/** A flood: each VM has a request for the replica so often. */
-const FLOOD_EVERY_MS = 20;
-const FLOOD_MS = 2_900;
+/** Interval at which each VM has a request for the replica. */
+const REQUEST_INTERVAL_MS = 20;
+const OVERLOAD_MS = 2_900;
 
 function listVms(count: number): VmId[] {
   return Array.from({ length: count }, (_, index) => toId(`vm-${index}`));
@@ -25,7 +25,7 @@
   return buildListedReplica(1, changes);
 }
 
-function createStart(
+function createSlowStart(
   clock: VirtualClock,
   vm: string,
   role: PlacementRole["role"],
@@ -40,95 +40,96 @@
   });
 }
 
-/** The most requests in any second, if each VM sends whenever it may. */
-async function countMostPerS(
+/**
+ * Largest number of requests in any second, if each VM sends whenever it may.
+ */
+async function countMaxPerS(
   clock: VirtualClock,
   starts: readonly SlowStart[],
   replica: ListedReplica,
-): Promise<{ most: number; all: number }> {
+): Promise<{ max: number; all: number }> {
   const sentAt: number[] = [];
-  for (let at = 0; at < FLOOD_MS; at += FLOOD_EVERY_MS) {
+  for (let at = 0; at < OVERLOAD_MS; at += REQUEST_INTERVAL_MS) {
     for (const start of starts) {
-      if (!start.hasRoom(replica)) continue;
+      if (!start.hasCapacity(replica)) continue;
       start.addSent(replica);
       sentAt.push(clock.now());
     }
-    await clock.run(FLOOD_EVERY_MS);
+    await clock.run(REQUEST_INTERVAL_MS);
   }
   const counts = sentAt.map((from) =>
     sentAt.filter((at) => at >= from && at < from + 1_000).length
   );
-  return { most: Math.max(0, ...counts), all: sentAt.length };
+  return { max: Math.max(0, ...counts), all: sentAt.length };
 }
 
-// Symptom: replicas that came back two seconds ago fall over again, and the
-// streams on them end by a reset.
-// Sequence: a quarter of a pool crashes in a flood; they come back empty, and
-// each gets sixteen requests or more in its first second.
-// Cause: nobody counted what the fleet sends to a replica that warms up.
-describe("a replica that warms up in a flood", () => {
+// Guards against replicas that crash again two seconds after they came back
+// under load, which resets the streams on them. They come back empty, and
+// without a limit for the whole fleet each gets sixteen requests or more in its
+// first second.
+describe("a replica that warms up under overload", () => {
   const warming = buildReplica({ warmUp: { leftMs: 3_000, revision: 7 } });
 
-  it("gets no more than it bears from the owner of its pool", async () => {
+  it("gets no more than it sustains from the owner of its pool", async () => {
     const clock = VirtualClock.create();
-    const owner = createStart(clock, "vm-1", "owner");
+    const owner = createSlowStart(clock, "vm-1", "owner");
     owner.noteList({ revision: 7, replicas: [warming] });
-    const { most, all } = await countMostPerS(clock, [owner], warming);
-    expect(most).toBeLessThanOrEqual(WARM_UP.requestsPerS);
+    const { max, all } = await countMaxPerS(clock, [owner], warming);
+    expect(max).toBeLessThanOrEqual(WARM_UP.requestsPerS);
     expect(all).toBeGreaterThan(10);
   });
 
-  it("bears an owner, its substitute and all VMs that hear neither", async () => {
+  it("sustains an owner, its substitute and all VMs that reach neither", async () => {
     const clock = VirtualClock.create();
     for (const id of ["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"]) {
       const replica = { ...warming, id: toId<VmId>(id) };
       const starts = FLEET.map((vm, index) =>
-        createStart(clock, vm, index < 2 ? "owner" : "alone")
+        createSlowStart(clock, vm, index < 2 ? "owner" : "alone")
       );
       starts.forEach((start) =>
         start.noteList({ revision: 7, replicas: [replica] })
       );
-      const { most } = await countMostPerS(clock, starts, replica);
-      expect(most).toBeLessThanOrEqual(MOST_PER_S);
+      const { max } = await countMaxPerS(clock, starts, replica);
+      expect(max).toBeLessThanOrEqual(MAX_PER_S);
     }
   });
 
-  it("bears a fleet without owners", async () => {
+  it("sustains a fleet without owners", async () => {
     const clock = VirtualClock.create();
     const vms = listVms(8);
-    const starts = vms.map((vm) => createStart(clock, vm, "equal", vms));
+    const starts = vms.map((vm) => createSlowStart(clock, vm, "equal", vms));
     starts.forEach((start) =>
       start.noteList({ revision: 7, replicas: [warming] })
     );
-    const { most, all } = await countMostPerS(clock, starts, warming);
-    expect(most).toBeLessThanOrEqual(MOST_PER_S);
+    const { max, all } = await countMaxPerS(clock, starts, warming);
+    expect(max).toBeLessThanOrEqual(MAX_PER_S);
     expect(all).toBeGreaterThan(0);
   });
 
-  // Symptom: replicas and half of the VMs start at once, and the replicas fall
-  // over.
-  // Cause: each VM took itself for the only one until it heard the others.
-  it("gets nothing from VMs that have not heard of the others", async () => {
+  // Guards against replicas that crash when they start together with half of
+  // the VMs: each VM took itself for the only one until it had discovered the
+  // others.
+  it("gets nothing from VMs that have not discovered the others", async () => {
     const clock = VirtualClock.create();
-    const start = createStart(clock, "vm-1", "unsettled", []);
+    const start = createSlowStart(clock, "vm-1", "unsettled", []);
     start.noteList({ revision: 7, replicas: [warming] });
-    expect((await countMostPerS(clock, [start], warming)).all).toBe(0);
+    expect((await countMaxPerS(clock, [start], warming)).all).toBe(0);
   });
 
-  it("is sent all that there is once it is warm", async () => {
+  it("gets any number of requests once it is warm", async () => {
     const clock = VirtualClock.create();
-    const start = createStart(clock, "vm-1", "owner");
+    const start = createSlowStart(clock, "vm-1", "owner");
     start.noteList({ revision: 7, replicas: [warming] });
     await clock.run(3_000);
     expect(start.isWarming(warming)).toBe(false);
-    expect(start.hasRoom(warming)).toBe(true);
+    expect(start.hasCapacity(warming)).toBe(true);
   });
 });
 
-describe("what tells that a replica is cold", () => {
-  it("is an entry once: the same one read again says nothing new", async () => {
+describe("the sign that a replica is cold", () => {
+  it("is a new entry, but not the same one read again", async () => {
     const clock = VirtualClock.create();
-    const start = createStart(clock, "vm-1", "owner");
+    const start = createSlowStart(clock, "vm-1", "owner");
     const replica = buildReplica({ warmUp: { leftMs: 500, revision: 7 } });
     start.noteList({ revision: 7, replicas: [replica] });
     await clock.run(400);
@@ -137,11 +138,11 @@
     expect(start.isWarming(replica)).toBe(false);
   });
 
-  // An entry is written each 1.2 s: a replica that crashed may be back, cold,
-  // a second before its entry says so.
-  it("is its failures, until it may have started and warmed up", async () => {
+  // An entry is written every 1.2 s: a crashed replica may be back, cold, a
+  // second before its entry shows it.
+  it("is its failures, until it may have restarted and warmed up", async () => {
     const clock = VirtualClock.create();
-    const start = createStart(clock, "vm-1", "owner");
+    const start = createSlowStart(clock, "vm-1", "owner");
     const replica = buildReplica();
     start.noteList({ revision: 7, replicas: [replica] });
     start.noteFailing(replica.id, 500);
@@ -153,7 +154,7 @@
 
   it("is the end of its data centre's evacuation", () => {
     const clock = VirtualClock.create();
-    const start = createStart(clock, "vm-1", "owner");
+    const start = createSlowStart(clock, "vm-1", "owner");
     const replica = buildReplica();
     const other = buildReplica({ id: toId("i-2"), dataCentre: toId("dc-2") });
     const replicas = [replica, other];
@@ -163,7 +164,7 @@
     expect(start.isWarming(other)).toBe(false);
   });
 
-  it("is nothing in a pool that needs no warm-up", () => {
+  it("is ignored in a pool that needs no warm-up", () => {
     const clock = VirtualClock.create();
     const start = SlowStart.create({
       vm: toId("vm-1"),
@@ -174,6 +175,6 @@
     });
     const replica = buildReplica({ warmUp: { leftMs: 500, revision: 7 } });
     start.noteList({ revision: 7, replicas: [replica] });
-    expect(start.hasRoom(replica)).toBe(true);
+    expect(start.hasCapacity(replica)).toBe(true);
   });
 });
--- a/test/process/placement/unreported_loads_test.ts
+++ b/test/process/placement/unreported_loads_test.ts
@@ -20,43 +20,42 @@
   }).loads;
 }
 
-describe("work that was placed for another VM", () => {
-  // Symptom: requests that come at the same moment wait at one replica.
-  // Sequence: several VMs ask the owner before any of them has told of its
-  // work again.
-  // Cause: the owner counted only what VMs had told.
-  it("counts from the answer on, and once", () => {
+describe("load placed for another VM", () => {
+  // Guards against requests that arrive at the same moment and wait at one
+  // replica: several VMs request a placement before any of them has reported
+  // its load again, and the owner counted reported loads only.
+  it("counts from the answer on, and only once", () => {
     const loads = createLoads(VirtualClock.create());
-    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.add(VM, 1, { replica: REPLICA, load: LOAD });
     expect(loads.getLoad(REPLICA)).toEqual(LOAD);
     loads.unreported.settle(VM, 1, []);
-    loads.putPeer(VM, [[REPLICA, 900, 1, 0, 0]]);
+    loads.putPeerLoads(VM, [[REPLICA, 900, 1, 0, 0]]);
     expect(loads.getLoad(REPLICA)).toEqual(LOAD);
   });
 
-  it("counts on while the other VM has not seen the answer", () => {
+  it("still counts while the other VM has not received the answer", () => {
     const loads = createLoads(VirtualClock.create());
-    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
-    loads.unreported.note(VM, 2, { replica: REPLICA, load: LOAD });
-    loads.unreported.note(VM, 3, { replica: REPLICA, load: LOAD });
+    loads.unreported.add(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.add(VM, 2, { replica: REPLICA, load: LOAD });
+    loads.unreported.add(VM, 3, { replica: REPLICA, load: LOAD });
     loads.unreported.settle(VM, 2, [1]);
     expect(loads.getLoad(REPLICA).running).toBe(2);
   });
 
-  it("is forgotten when the other VM is never heard again", async () => {
+  it("expires when the other VM sends no more reports", async () => {
     const clock = VirtualClock.create();
     const loads = createLoads(clock);
-    loads.unreported.note(VM, 1, { replica: REPLICA, load: LOAD });
+    loads.unreported.add(VM, 1, { replica: REPLICA, load: LOAD });
     await clock.run(1_500);
     expect(loads.getLoad(REPLICA).running).toBe(0);
   });
 
-  it("is not lost when a third VM falls silent", async () => {
+  it("is not lost when reports of a third VM expire", async () => {
     const clock = VirtualClock.create();
     const loads = createLoads(clock);
-    loads.putPeer(toId("vm-2"), [[REPLICA, 100, 2, 1, 0]]);
+    loads.putPeerLoads(toId("vm-2"), [[REPLICA, 100, 2, 1, 0]]);
     await clock.run(1_000);
-    loads.putPeer(VM, [[REPLICA, 900, 1, 0, 0]]);
+    loads.putPeerLoads(VM, [[REPLICA, 900, 1, 0, 0]]);
     await clock.run(1_000);
     expect(loads.getLoad(REPLICA)).toEqual(LOAD);
   });
--- a/test/process/quarantine/crash_ledger_test.ts
+++ b/test/process/quarantine/crash_ledger_test.ts
@@ -6,7 +6,7 @@
   toId,
 } from "../../../src/ids.ts";
 import {
-  HELD_CRASHES,
+  HOLD_AFTER_CRASHES,
   type SuspectEntry,
 } from "../../../src/process/quarantine/crash_evidence.ts";
 import { CrashLedger } from "../../../src/process/quarantine/crash_ledger.ts";
@@ -15,14 +15,14 @@
 const REQUEST = toId<RequestFingerprint>("request");
 const FIRST_HOLD_MS = 600_000;
 const EARLY_HOLD_MS = 60_000;
-const SUSPICION_MS = 600_000;
+const EVIDENCE_TTL_MS = 600_000;
 
 function createLedger(): { clock: VirtualClock; ledger: CrashLedger } {
   const clock = VirtualClock.create();
   return { clock, ledger: CrashLedger.create(clock) };
 }
 
-/** After the first output, so that three are needed. */
+/** After the first output, so that three crashes are needed to hold it. */
 function addCrashes(ledger: CrashLedger, count: number, first = 0): void {
   for (let index = first; index < first + count; index++) {
     ledger.addCrash(REQUEST, toId<Incarnation>(`i-${index}`), true);
@@ -30,15 +30,15 @@
 }
 
 describe("a request under which replicas crash", () => {
-  it("is held once three have", () => {
+  it("is held once three replicas have crashed", () => {
     const { ledger } = createLedger();
-    addCrashes(ledger, HELD_CRASHES - 1);
+    addCrashes(ledger, HOLD_AFTER_CRASHES - 1);
     expect(ledger.getHeldMs(REQUEST)).toBe(0);
-    addCrashes(ledger, 1, HELD_CRASHES);
+    addCrashes(ledger, 1, HOLD_AFTER_CRASHES);
     expect(ledger.getHeldMs(REQUEST)).toBe(FIRST_HOLD_MS);
   });
 
-  it("is held for a short time once two have before its output", () => {
+  it("is held for a short time after two crashes before its output", () => {
     const { ledger } = createLedger();
     addCrashes(ledger, 1);
     ledger.addCrash(REQUEST, toId("i-1"), false);
@@ -47,35 +47,35 @@
     expect(ledger.getHeldMs(REQUEST)).toBe(EARLY_HOLD_MS);
   });
 
-  // Guards against taking what one crash cut several times for several crashes.
-  it("is not held for one crash that is told again and again", () => {
+  // Guards against counting one crash several times.
+  it("is not held for one crash that is reported repeatedly", () => {
     const { ledger } = createLedger();
     for (let time = 0; time < 10; time++) addCrashes(ledger, 1);
     expect(ledger.countCrashes(REQUEST)).toBe(1);
     expect(ledger.getHeldMs(REQUEST)).toBe(0);
   });
 
-  it("is held twice as long after one crash more", async () => {
+  it("is held twice as long after one more crash", async () => {
     const { clock, ledger } = createLedger();
-    addCrashes(ledger, HELD_CRASHES);
+    addCrashes(ledger, HOLD_AFTER_CRASHES);
     await clock.run(FIRST_HOLD_MS);
     expect(ledger.getHeldMs(REQUEST)).toBe(0);
-    addCrashes(ledger, 1, HELD_CRASHES);
+    addCrashes(ledger, 1, HOLD_AFTER_CRASHES);
     expect(ledger.getHeldMs(REQUEST)).toBe(2 * FIRST_HOLD_MS);
   });
 
-  it("is free again once it was answered whole", async () => {
+  it("is released once it was answered completely", async () => {
     const { clock, ledger } = createLedger();
-    addCrashes(ledger, HELD_CRASHES);
+    addCrashes(ledger, HOLD_AFTER_CRASHES);
     await clock.run(1);
     ledger.noteAnswered(REQUEST);
     expect(ledger.getHeldMs(REQUEST)).toBe(0);
     expect(ledger.listSuspects()).toEqual([]);
   });
 
-  it("is free of a crash of before its answer that is heard of late", async () => {
+  it("is not held for an earlier crash that is reported after its answer", async () => {
     const { clock, ledger } = createLedger();
-    addCrashes(ledger, HELD_CRASHES - 1);
+    addCrashes(ledger, HOLD_AFTER_CRASHES - 1);
     await clock.run(100);
     ledger.noteAnswered(REQUEST);
     await clock.run(100);
@@ -84,7 +84,7 @@
     expect(ledger.countCrashes(REQUEST)).toBe(0);
   });
 
-  it("is no suspect where one crash cut its output", () => {
+  it("is no suspect where a single crash cut off its output", () => {
     const { ledger } = createLedger();
     addCrashes(ledger, 1);
     expect(ledger.isSuspect(REQUEST)).toBe(false);
@@ -92,20 +92,21 @@
     expect(ledger.isSuspect(REQUEST)).toBe(true);
   });
 
-  it("is forgotten in time where it was never held", async () => {
+  it("is forgotten after a time where it was never held", async () => {
     const { clock, ledger } = createLedger();
     addCrashes(ledger, 1);
-    await clock.run(SUSPICION_MS);
+    await clock.run(EVIDENCE_TTL_MS);
     expect(ledger.countCrashes(REQUEST)).toBe(0);
     expect(ledger.listSuspects()).toEqual([]);
   });
 });
 
 describe("a ledger", () => {
-  // Guards against a crowded replica's crash pushing out what is held.
-  it("keeps what is held beside thousands of suspects", () => {
+  // Guards against a crash of a crowded replica evicting requests that are
+  // held.
+  it("keeps held requests among thousands of suspects", () => {
     const { ledger } = createLedger();
-    addCrashes(ledger, HELD_CRASHES);
+    addCrashes(ledger, HOLD_AFTER_CRASHES);
     for (let index = 0; index < 5_000; index++) {
       ledger.addCrash(toId(`beside-${index}`), toId("i-0"), false);
     }
@@ -114,7 +115,7 @@
     expect(ledger.listSuspects()[0]).toBe(REQUEST);
   });
 
-  it("comes to the same whatever order news has, and how often", () => {
+  it("does not depend on the order of entries or on repeats", () => {
     const entry = fc.tuple(
       fc.constantFrom(toId<RequestFingerprint>("a"), REQUEST),
       fc.array(
--- a/test/process/quarantine/quarantine_fleet.ts
+++ b/test/process/quarantine/quarantine_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The quarantines of several VMs that tell each other over lossy links, in
+ * Quarantines of several VMs that exchange evidence over lossy links, in
  * virtual time.
  *
  * @module
@@ -14,46 +14,46 @@
 import {
   RequestQuarantine,
   type SuspectEntry,
-  SuspectNews,
+  SuspectGossip,
 } from "../../../src/process/quarantine/index.ts";
 import { type Random, SeededRandom } from "../../../src/process/random.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
-/** One way between two VMs. */
+/** One-way delay between two VMs. */
 const DELAY_MS = 1;
 
 interface TestVm {
   index: number;
   quarantine: RequestQuarantine;
-  news: SuspectNews<number>;
+  gossip: SuspectGossip<number>;
   isUp: boolean;
 }
 
-/** Quarantines that hear of each other's evidence. */
+/** Quarantines of VMs that exchange evidence. */
 export class QuarantineFleet {
   readonly clock = VirtualClock.create();
   readonly random: Random;
   readonly #vms: TestVm[] = [];
-  readonly #lostShare: number;
+  readonly #lossRate: number;
   #replicas = 0;
-  /** What a check finds of a replica whose connection broke. */
+  /** Result of the check of a replica whose connection broke. */
   areReplicasUp = false;
-  /** Whether datagrams go from the first VM to the second. */
-  isCut: (from: number, to: number) => boolean = () => false;
+  /** Whether datagrams from the first VM to the second are lost. */
+  isLinkDown: (from: number, to: number) => boolean = () => false;
 
-  constructor(options: { vms: number; seed: number; lostShare: number }) {
+  constructor(options: { vms: number; seed: number; lossRate: number }) {
     this.random = SeededRandom.create(options.seed);
-    this.#lostShare = options.lostShare;
+    this.#lossRate = options.lossRate;
     for (let index = 0; index < options.vms; index++) this.startVm(index);
   }
 
   static create(
-    options: { vms: number; seed?: number; lostShare?: number },
+    options: { vms: number; seed?: number; lossRate?: number },
   ): QuarantineFleet {
-    return new QuarantineFleet({ seed: 1, lostShare: 0, ...options });
+    return new QuarantineFleet({ seed: 1, lossRate: 0, ...options });
   }
 
-  /** Starts a VM that knows nothing, in the place of the one before. */
+  /** Starts a VM without any evidence, in place of the previous one. */
   startVm(index: number): void {
     this.stopVm(index);
     const { clock } = this;
@@ -64,9 +64,9 @@
         clock,
         log: SilentLog.create(),
         isListening: () => Promise.resolve(this.areReplicasUp),
-        announce: (entries) => vm.news.announce(entries),
+        announce: (entries) => vm.gossip.announce(entries),
       }),
-      news: SuspectNews.create({
+      gossip: SuspectGossip.create({
         clock,
         random: this.random,
         listPeers: () => this.#listPeers(index),
@@ -76,27 +76,27 @@
       }),
     };
     this.#vms[index] = vm;
-    vm.news.start();
+    vm.gossip.start();
   }
 
   stopVm(index: number): void {
     const vm = this.#vms[index];
     if (vm === undefined) return;
     vm.isUp = false;
-    vm.news.stop();
+    vm.gossip.stop();
   }
 
   getQuarantine(index: number): RequestQuarantine {
     return this.#vms[index]!.quarantine;
   }
 
-  /** Whether each VM that is up holds the request back. */
+  /** Whether every VM that is up holds the request. */
   isHeldByAll(request: RequestFingerprint): boolean {
     return this.#vms.filter(({ isUp }) => isUp)
       .every(({ quarantine }) => quarantine.getQuarantineMs(request) > 0);
   }
 
-  /** A replica's connections break under these requests of these VMs. */
+  /** Breaks a replica's connections under these requests of these VMs. */
   endReplica(
     requests: [vm: number, request: RequestFingerprint][],
     hadOutput = true,
@@ -123,15 +123,15 @@
     to: number,
     entries: readonly SuspectEntry[],
   ): void {
-    const isLost = this.random.next() < this.#lostShare ||
-      this.isCut(from.index, to) || !from.isUp;
+    const isLost = this.random.next() < this.#lossRate ||
+      this.isLinkDown(from.index, to) || !from.isUp;
     if (isLost) return;
     const receiver = this.#vms[to]!;
     this.clock.startTimer(DELAY_MS, () => {
       if (!receiver.isUp) return;
       const name = String(from.index);
-      const better = receiver.quarantine.mergeEntries(name, entries);
-      if (better.length > 0) this.#send(receiver, from.index, better);
+      const newer = receiver.quarantine.mergeEntries(name, entries);
+      if (newer.length > 0) this.#send(receiver, from.index, newer);
     });
   }
 }
--- a/test/process/quarantine/request_quarantine_test.ts
+++ b/test/process/quarantine/request_quarantine_test.ts
@@ -12,54 +12,54 @@
 
 const POISON = toId<RequestFingerprint>("poison");
 const HARMLESS = toId<RequestFingerprint>("harmless");
-/** Longer than it takes to tell all VMs at once. */
-const NEWS_MS = 20;
-/** Within this, in milliseconds, all VMs have to know of a third crash. */
-const KNOWN_WITHIN_MS = 3_000;
-const ALLOWED_RETRIES = 3;
+/** Longer than it takes to announce a crash to all VMs. */
+const ANNOUNCE_MS = 20;
+/** Time within which all VMs have to know of a third crash. */
+const SPREAD_MS = 3_000;
+const MAX_LATE_SENDS = 3;
 
 describe("a request that crashes replicas", () => {
-  it("is held by all VMs after crashes that three of them saw", async () => {
+  it("is held by all VMs after three of them saw a crash each", async () => {
     const fleet = QuarantineFleet.create({ vms: 8 });
     for (const vm of [0, 1, 2]) fleet.endReplica([[vm, POISON]]);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     expect(fleet.isHeldByAll(POISON)).toBe(true);
   });
 
-  it("is held by a VM that starts after it was found out", async () => {
+  it("is held by a VM that starts after the crashes", async () => {
     const fleet = QuarantineFleet.create({ vms: 8 });
     for (const vm of [0, 1, 2]) fleet.endReplica([[vm, POISON]]);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     for (let vm = 0; vm < 7; vm++) {
       fleet.startVm(vm);
-      await fleet.clock.run(KNOWN_WITHIN_MS);
+      await fleet.clock.run(SPREAD_MS);
     }
     expect(fleet.isHeldByAll(POISON)).toBe(true);
   });
 
-  it("is held by a VM that was cut off, once it is heard again", async () => {
+  it("is held by a VM that was cut off, once it is reachable again", async () => {
     const fleet = QuarantineFleet.create({ vms: 8 });
-    fleet.isCut = (from, to) => from === 7 || to === 7;
+    fleet.isLinkDown = (from, to) => from === 7 || to === 7;
     for (const vm of [0, 1, 2]) fleet.endReplica([[vm, POISON]]);
-    await fleet.clock.run(KNOWN_WITHIN_MS);
+    await fleet.clock.run(SPREAD_MS);
     expect(fleet.isHeldByAll(POISON)).toBe(false);
-    fleet.isCut = () => false;
-    await fleet.clock.run(KNOWN_WITHIN_MS);
+    fleet.isLinkDown = () => false;
+    await fleet.clock.run(SPREAD_MS);
     expect(fleet.isHeldByAll(POISON)).toBe(true);
   });
 
   // Guards against repeats at VMs that lost datagrams or have just started.
   for (let seed = 1; seed <= 50; seed++) {
     it(`reaches few replicas once it is known, seed ${seed}`, async () => {
-      const fleet = QuarantineFleet.create({ vms: 8, seed, lostShare: 0.2 });
+      const fleet = QuarantineFleet.create({ vms: 8, seed, lossRate: 0.2 });
       const { clock, random } = fleet;
       const sentAt: number[] = [];
       for (let repeat = 0; repeat < 60; repeat++) {
         await clock.run(20 + random.nextInt(600));
         if (random.next() < 0.1) {
-          // VMs of a release come back one after the other.
+          // VMs restart one after the other, as in a release.
           fleet.startVm(random.nextInt(8));
-          await clock.run(KNOWN_WITHIN_MS);
+          await clock.run(SPREAD_MS);
         }
         const vm = random.nextInt(8);
         if (fleet.getQuarantine(vm).getQuarantineMs(POISON) > 0) continue;
@@ -67,62 +67,62 @@
         await clock.run(random.nextInt(300));
         fleet.endReplica([[vm, POISON], [random.nextInt(8), HARMLESS]]);
       }
-      const knownAt = sentAt[2]! + KNOWN_WITHIN_MS;
+      const knownAt = sentAt[2]! + SPREAD_MS;
       expect(sentAt.filter((at) => at > knownAt).length)
-        .toBeLessThanOrEqual(ALLOWED_RETRIES);
+        .toBeLessThanOrEqual(MAX_LATE_SENDS);
       expect(sentAt.length).toBeGreaterThanOrEqual(3);
     });
   }
 });
 
-describe("a request that only was there when replicas crashed", () => {
-  it("is free at all VMs once one replica answered it whole", async () => {
+describe("a harmless request that was running when replicas crashed", () => {
+  it("is released by all VMs once a replica answered it completely", async () => {
     const fleet = QuarantineFleet.create({ vms: 8 });
     for (const vm of [0, 1, 2]) fleet.endReplica([[vm, HARMLESS]]);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     fleet.getQuarantine(5).noteAnswered(HARMLESS);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     for (let vm = 0; vm < 8; vm++) {
       expect(fleet.getQuarantine(vm).isSuspect(HARMLESS)).toBe(false);
     }
   });
 
-  it("is free at a VM that missed the news of its answer", async () => {
+  it("is released by a VM that missed the update on its answer", async () => {
     const fleet = QuarantineFleet.create({ vms: 2 });
     for (const vm of [0, 0, 0]) fleet.endReplica([[vm, HARMLESS]]);
-    await fleet.clock.run(NEWS_MS);
-    fleet.isCut = () => true;
+    await fleet.clock.run(ANNOUNCE_MS);
+    fleet.isLinkDown = () => true;
     fleet.getQuarantine(0).noteAnswered(HARMLESS);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     expect(fleet.getQuarantine(1).getQuarantineMs(HARMLESS)).toBeGreaterThan(0);
-    fleet.isCut = () => false;
-    await fleet.clock.run(KNOWN_WITHIN_MS);
+    fleet.isLinkDown = () => false;
+    await fleet.clock.run(SPREAD_MS);
     expect(fleet.getQuarantine(1).isSuspect(HARMLESS)).toBe(false);
   });
 
-  // Guards against holding back what many callers ask for when a rack goes.
-  it("is not held where it was answered just before, at any VM", async () => {
+  // Guards against holding a request that many callers send when a rack fails.
+  it("is not held where any VM had an answer to it just before", async () => {
     const fleet = QuarantineFleet.create({ vms: 8 });
     fleet.getQuarantine(6).noteAnswered(HARMLESS);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     for (const vm of [0, 1, 2, 3]) fleet.endReplica([[vm, HARMLESS]]);
-    await fleet.clock.run(KNOWN_WITHIN_MS);
+    await fleet.clock.run(SPREAD_MS);
     for (let vm = 0; vm < 8; vm++) {
       expect(fleet.getQuarantine(vm).getQuarantineMs(HARMLESS)).toBe(0);
     }
   });
 
-  // Guards against taking a replica that resets connections for one that ends.
-  it("is no suspect where the replicas live on", async () => {
+  // Guards against taking a replica that resets connections for a crashed one.
+  it("is no suspect where the replicas are still up", async () => {
     const fleet = QuarantineFleet.create({ vms: 2 });
     fleet.areReplicasUp = true;
     for (let time = 0; time < 5; time++) fleet.endReplica([[0, HARMLESS]]);
-    await fleet.clock.run(NEWS_MS);
+    await fleet.clock.run(ANNOUNCE_MS);
     expect(fleet.getQuarantine(0).isSuspect(HARMLESS)).toBe(false);
   });
 });
 
-it("what one crash cut at a VM is checked once", async () => {
+it("one check serves all requests that a crash cut off at a VM", async () => {
   const clock = VirtualClock.create();
   let checks = 0;
   const quarantine = RequestQuarantine.create({
@@ -142,7 +142,7 @@
   for (let index = 0; index < 20; index++) {
     void quarantine.noteConnectionLoss(toId(`request-${index}`), replica);
   }
-  await clock.run(NEWS_MS);
+  await clock.run(ANNOUNCE_MS);
   expect(quarantine.countSuspects()).toBe(20);
   expect(checks).toBe(1);
 });
