--- a/src/process/entry_addresses.ts
+++ b/src/process/entry_addresses.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs callers are told of.
+ * Addresses of entry VMs for callers.
  *
  * @module
  */
@@ -9,14 +9,14 @@
 /** A VM that serves callers. */
 export interface EntryAddress {
   dataCentre: DataCentre;
-  /** Where callers connect. */
+  /** Endpoint for callers. */
   callers: string;
 }
 
 /**
- * Addresses for callers of `region`: of the VMs there alone, while there are
- * any. What callers send must not leave some regions, and would if they
- * connected to a VM elsewhere because they were told of it.
+ * Addresses for callers of `region`: only those of VMs in the region, unless
+ * there are none. Some requests must not leave certain regions, which they
+ * would if their callers were given the address of a VM elsewhere.
  */
 export function listNearAddresses(
   entries: readonly EntryAddress[],
--- a/src/process/fleet_membership.ts
+++ b/src/process/fleet_membership.ts
@@ -1,5 +1,5 @@
 /**
- * The published membership list joined with what probes found.
+ * The published membership list combined with the results of probes.
  *
  * @module
  */
@@ -16,29 +16,29 @@
 
 const MAX_CACHED_ORDERS = 10_000;
 
-/** What a membership starts with. */
+/** Options of `FleetMembership`. */
 export interface FleetMembershipOptions {
   environment: Environment;
-  /** This VM as it would be listed; it stands alone until a list is there. */
+  /** This VM's own entry; the only one until a list is applied. */
   self: ListedVm;
 }
 
-/** A VM's view of the fleet. */
+/** A VM's view of the fleet, from the list, probes and gossip. */
 export class FleetMembership extends MembershipView {
   readonly gossip: MemberGossip;
   readonly #environment: Environment;
   readonly #self: ListedVm;
-  readonly #beliefs: MemberStates;
+  readonly #states: MemberStates;
   readonly #pauses: PauseDetector;
-  readonly #upstreamWords: UpstreamNotices;
-  readonly #callbacks: (() => void)[] = [];
+  readonly #notices: UpstreamNotices;
+  readonly #changeCallbacks: (() => void)[] = [];
   readonly #urgentCallbacks: (() => void)[] = [];
-  readonly #orders = new Map<string, VmId[]>();
+  readonly #ownerOrders = new Map<string, VmId[]>();
   #list: MembershipList;
   #vms = new Map<VmId, ListedVm>();
   #entryVms: ListedVm[] = [];
   #upstreams = new Map<PoolName, ListedVm[]>();
-  #listedAt: number;
+  #listConfirmedAt: number;
   #isViewStale = false;
 
   constructor(options: FleetMembershipOptions) {
@@ -47,15 +47,15 @@
     this.#environment = environment;
     this.#self = self;
     this.gossip = MemberGossip.create();
-    this.#upstreamWords = UpstreamNotices.create();
-    this.#beliefs = MemberStates.create({
+    this.#notices = UpstreamNotices.create();
+    this.#states = MemberStates.create({
       self: { vm: environment.vm, incarnation: environment.incarnation },
       clock: environment.clock,
-      onNews: (news) => this.#handleNews(news),
+      onUpdate: (update) => this.#handleUpdate(update),
     });
     this.#pauses = PauseDetector.create(environment.clock);
     this.#pauses.onPause((gapMs) => this.#handlePause(gapMs));
-    this.#listedAt = -Infinity;
+    this.#listConfirmedAt = -Infinity;
     this.#list = { revision: 0, vms: [self] };
     this.#buildIndexes();
   }
@@ -64,7 +64,7 @@
     return new FleetMembership(options);
   }
 
-  /** Begins to watch for pauses of this process. */
+  /** Starts the detection of pauses of this process. */
   start(): void {
     this.#pauses.start();
   }
@@ -77,35 +77,35 @@
     return this.#list;
   }
 
-  /** Takes `list` if its revision is higher; returns whether it was. */
+  /** Applies `list` if its revision is higher; returns whether it was. */
   applyList(list: MembershipList): boolean {
     if (list.revision <= this.#list.revision) return false;
     this.#list = list;
     this.#buildIndexes();
-    this.#beliefs.removeUnlisted(new Set(this.#vms.keys()));
-    this.#upstreamWords.removeUnlisted(new Set(this.#vms.keys()));
+    this.#states.removeUnlisted(new Set(this.#vms.keys()));
+    this.#notices.removeUnlisted(new Set(this.#vms.keys()));
     this.#announceChange();
     return true;
   }
 
   /**
-   * Notes that `revision` was the newest published, `ageMs` ago; returns
-   * whether that is fresher than what was known.
+   * Records that `revision` was the newest published one `ageMs` ago; returns
+   * whether that is more recent than what was known.
    */
   noteListCurrent(revision: number, ageMs: number): boolean {
     if (revision !== this.#list.revision) return false;
     const at = this.#environment.clock.now() - ageMs;
-    if (at <= this.#listedAt) return false;
-    this.#listedAt = at;
+    if (at <= this.#listConfirmedAt) return false;
+    this.#listConfirmedAt = at;
     return true;
   }
 
   /**
-   * Time since the list was last known to be the newest published, by the
-   * platform's word, at first or at second hand; infinite before that.
+   * Time since the list was last known to be the newest published one, whether
+   * from the platform or through another VM; infinite before that.
    */
   getViewAgeMs(): number {
-    return this.#environment.clock.now() - this.#listedAt;
+    return this.#environment.clock.now() - this.#listConfirmedAt;
   }
 
   findVm(vm: VmId): ListedVm | undefined {
@@ -118,23 +118,25 @@
 
   listUpstreams(pool: PoolName): ListedVm[] {
     const listed = this.#upstreams.get(pool) ?? [];
-    return listed.filter((vm) => !this.#upstreamWords.isLeaving(vm.id));
+    return listed.filter((vm) => !this.#notices.isLeaving(vm.id));
   }
 
-  /** Takes in an upstream's own word, so old, on whether it is leaving. */
+  /**
+   * Records an upstream's own notice, `ageMs` old, on whether it is leaving.
+   */
   noteUpstreamLeaving(vm: VmId, isLeaving = true, ageMs = 0): void {
-    const saidAt = this.#environment.clock.now() - ageMs;
-    const news = this.#upstreamWords.noteWord(vm, isLeaving, saidAt);
-    if (news !== undefined) this.#handleNews(news);
+    const reportedAt = this.#environment.clock.now() - ageMs;
+    const update = this.#notices.recordNotice(vm, isLeaving, reportedAt);
+    if (update !== undefined) this.#handleUpdate(update);
   }
 
   isReachable(vm: VmId): boolean {
     if (vm === this.#self.id) return !this.isRecovering();
-    return !this.#beliefs.isDead(vm);
+    return !this.#states.isDead(vm);
   }
 
   isDraining(vm: VmId): boolean {
-    if (this.#beliefs.isDraining(vm)) return true;
+    if (this.#states.isDraining(vm)) return true;
     return this.#vms.get(vm)?.state === "leaving";
   }
 
@@ -149,23 +151,23 @@
     return order.find((vm) => this.#vms.get(vm)?.state === "live");
   }
 
-  /** Every listed entry VM in rendezvous order for `key`. */
+  /** All listed entry VMs in rendezvous order for `key`. */
   listOwnerOrder(key: string): readonly VmId[] {
-    const cached = this.#orders.get(key);
+    const cached = this.#ownerOrders.get(key);
     if (cached !== undefined) return cached;
     const ids = this.#entryVms.map((vm) => vm.id);
     const order = computeRendezvousOrder(key, ids);
-    if (this.#orders.size >= MAX_CACHED_ORDERS) this.#orders.clear();
-    this.#orders.set(key, order);
+    if (this.#ownerOrders.size >= MAX_CACHED_ORDERS) this.#ownerOrders.clear();
+    this.#ownerOrders.set(key, order);
     return order;
   }
 
   onChange(callback: () => void): void {
-    this.#callbacks.push(callback);
+    this.#changeCallbacks.push(callback);
   }
 
-  /** Calls `callback` when others should know of a change at once. */
-  onUrgentNews(callback: () => void): void {
+  /** Calls `callback` when other VMs should learn of a change at once. */
+  onUrgentUpdate(callback: () => void): void {
     this.#urgentCallbacks.push(callback);
   }
 
@@ -175,83 +177,89 @@
   }
 
   /**
-   * Whether this process was paused and has not heard of the fleet since. It
-   * is the owner of nothing then.
+   * Whether this process was paused and has not received the state of the fleet
+   * since. A recovering VM owns nothing.
    */
   isRecovering(): boolean {
     this.#pauses.check();
     return this.#isViewStale;
   }
 
-  /** Ends the distrust after a pause: others were heard, or none is there. */
+  /**
+   * Ends the recovery after a pause, once other VMs answered or if there are
+   * none.
+   */
   noteViewRefreshed(): void {
     if (!this.#isViewStale) return;
     this.#isViewStale = false;
     this.#announceChange();
   }
 
-  /** Announces that this VM takes nothing new. */
+  /** Announces that this VM accepts no new work. */
   startDraining(): void {
-    this.#beliefs.startDraining();
+    this.#states.startDraining();
   }
 
-  /** What this VM tells of itself in each message. */
+  /** What this VM reports about itself in each message. */
   getSelfReport(): SelfReport {
-    return this.#beliefs.getOwn();
+    return this.#states.getSelfReport();
   }
 
-  /** What is believed of `vm`, unless it simply counts as alive. */
+  /** The state of `vm` if it is suspected or dead. */
   findSuspicion(vm: VmId): MemberUpdate | undefined {
-    return this.#beliefs.findDoubt(vm);
+    return this.#states.findSuspicion(vm);
   }
 
-  /** Takes in what an entry VM said of itself just now. */
-  noteContact(contact: SelfReport): void {
-    if (this.#vms.has(contact.from.vm)) this.#beliefs.noteContact(contact);
+  /** Applies what an entry VM just reported about itself. */
+  applySelfReport(report: SelfReport): void {
+    if (this.#vms.has(report.from.vm)) this.#states.applySelfReport(report);
   }
 
-  /** Takes in what another VM passed on. */
-  noteNews(news: readonly MemberUpdate[]): void {
-    for (const one of news) {
-      const role = this.#vms.get(one.vm)?.role;
-      if (role === "entry") this.#beliefs.noteNews(one);
-      if (role === "upstream") this.#noteUpstreamNews(one);
+  /** Applies updates that another VM forwarded. */
+  applyUpdates(updates: readonly MemberUpdate[]): void {
+    for (const update of updates) {
+      const role = this.#vms.get(update.vm)?.role;
+      if (role === "entry") this.#states.applyUpdate(update);
+      if (role === "upstream") this.#applyUpstreamUpdate(update);
     }
   }
 
-  /** Notes that `vm` answered no probe, direct or through others. */
+  /** Records that `vm` answered neither a direct nor an indirect probe. */
   noteProbeFailure(vm: VmId): void {
-    if (this.#vms.has(vm)) this.#beliefs.noteSilence(vm);
+    if (this.#vms.has(vm)) this.#states.noteProbeFailure(vm);
   }
 
-  /** Declares dead whom nobody cleared within `suspicionMs`. */
+  /**
+   * Declares suspects dead that were not cleared within `suspicionMs`, and
+   * returns them.
+   */
   applySuspicionTimeout(suspicionMs: number): VmId[] {
-    return this.#beliefs.applySuspicions(suspicionMs);
+    return this.#states.applySuspicionTimeout(suspicionMs);
   }
 
-  #noteUpstreamNews(news: MemberUpdate): void {
+  #applyUpstreamUpdate(update: MemberUpdate): void {
     const now = this.#environment.clock.now();
-    if (this.#upstreamWords.noteNews(news, now)) this.#handleNews(news);
+    if (this.#notices.applyUpdate(update, now)) this.#handleUpdate(update);
   }
 
-  #handleNews(news: MemberUpdate): void {
-    this.gossip.putNews(news);
+  #handleUpdate(update: MemberUpdate): void {
+    this.gossip.putUpdate(update);
     this.#announceChange();
-    const isGone = news.state === "dead" || news.state === "draining";
-    if (!isGone && news.vm !== this.#self.id) return;
+    const isGone = update.state === "dead" || update.state === "draining";
+    if (!isGone && update.vm !== this.#self.id) return;
     for (const callback of this.#urgentCallbacks) callback();
   }
 
   #handlePause(gapMs: number): void {
     this.#environment.log.warn("paused", { gap_ms: Math.round(gapMs) });
     this.#isViewStale = true;
-    this.#beliefs.resumeSuspicions();
+    this.#states.restartSuspicions();
     this.gossip.clear();
     this.#announceChange();
   }
 
   #buildIndexes(): void {
-    this.#orders.clear();
+    this.#ownerOrders.clear();
     this.#vms = new Map(this.#list.vms.map((vm) => [vm.id, vm]));
     this.#entryVms = this.#list.vms.filter((vm) => vm.role === "entry");
     this.#upstreams = new Map();
@@ -265,6 +273,6 @@
   }
 
   #announceChange(): void {
-    for (const callback of this.#callbacks) callback();
+    for (const callback of this.#changeCallbacks) callback();
   }
 }
--- a/src/process/local_peer.ts
+++ b/src/process/local_peer.ts
@@ -1,5 +1,5 @@
 /**
- * This VM's own answers to the others.
+ * Answers calls of other VMs in this process.
  *
  * @module
  */
@@ -33,8 +33,8 @@
 import type { ProcessExecutionClaims } from "./execution_claims.ts";
 import type { ShardOwners } from "./scheduler/index.ts";
 
-/** The parts of a process that answer other VMs. */
-export interface LocalPeerParts {
+/** Components of a process that answer calls of other VMs. */
+export interface LocalPeerComponents {
   owners: ShardOwners;
   prober: Prober;
   follower: ConfigurationFollower;
@@ -45,65 +45,73 @@
   collectStats: () => StatsAnswer;
 }
 
-/** Answers peers' calls from the parts of this process. */
+/** Dispatches calls of other VMs to the components of this process. */
 export class LocalPeer extends PeerApi {
-  readonly #getParts: () => LocalPeerParts;
+  readonly #getComponents: () => LocalPeerComponents;
 
-  constructor(getParts: () => LocalPeerParts) {
+  constructor(getComponents: () => LocalPeerComponents) {
     super();
-    this.#getParts = getParts;
+    this.#getComponents = getComponents;
   }
 
-  /** `getParts` is asked at each call, since parts also call this VM itself. */
-  static create(getParts: () => LocalPeerParts): LocalPeer {
-    return new LocalPeer(getParts);
+  /**
+   * `getComponents` is called for each call, because the components call this
+   * VM's own `LocalPeer` as well.
+   */
+  static create(getComponents: () => LocalPeerComponents): LocalPeer {
+    return new LocalPeer(getComponents);
   }
 
   acquire(call: AcquireCall): Promise<AcquireAnswer> {
-    return this.#getParts().owners.acquire(call);
+    return this.#getComponents().owners.acquire(call);
   }
 
   async syncLeases(call: SyncCall): Promise<SyncAnswer> {
-    return await this.#getParts().owners.syncLeases(call);
+    return await this.#getComponents().owners.syncLeases(call);
   }
 
   async probe(call: ProbeCall): Promise<ProbeAnswer> {
-    return await this.#getParts().prober.answerProbe(call);
+    return await this.#getComponents().prober.answerProbe(call);
   }
 
   probeVia(target: VmId, call: ProbeCall): Promise<boolean> {
-    return this.#getParts().prober.answerProbeVia(target, call);
+    return this.#getComponents().prober.answerProbeVia(target, call);
   }
 
   async fetchSnapshot(call: SnapshotCall): Promise<SnapshotAnswer> {
-    return await this.#getParts().follower.answerSnapshot(call);
+    return await this.#getComponents().follower.answerSnapshot(call);
   }
 
   async leaseLimit(call: LimitCall): Promise<LimitAnswer> {
-    return await this.#getParts().limits.answerLeaseLimit(call);
+    return await this.#getComponents().limits.answerLeaseLimit(call);
   }
 
   async claimRun(call: ClaimCall): Promise<ClaimAnswer> {
-    return await this.#getParts().claims.handleClaim(call);
+    return await this.#getComponents().claims.handleClaim(call);
   }
 
   async settleRun(call: SettleCall): Promise<void> {
-    await this.#getParts().claims.handleSettlement(call);
+    await this.#getComponents().claims.handleSettlement(call);
   }
 
   async findFate(call: RequestStatusCall): Promise<RequestStatusAnswer> {
-    return await this.#getParts().requestStatusFinder.handleStatusCall(call);
+    return await this.#getComponents().requestStatusFinder.handleStatusCall(
+      call,
+    );
   }
 
   async handOver(call: HandOverCall): Promise<boolean> {
-    return await this.#getParts().owners.handOver(call);
+    return await this.#getComponents().owners.handOver(call);
   }
 
   async collectStats(): Promise<StatsAnswer> {
-    return await this.#getParts().collectStats();
+    return await this.#getComponents().collectStats();
   }
 
   async noteSuspects({ from, entries }: SuspectsCall): Promise<SuspectEntry[]> {
-    return await this.#getParts().quarantine.mergeEntries(from.vm, entries);
+    return await this.#getComponents().quarantine.mergeEntries(
+      from.vm,
+      entries,
+    );
   }
 }
--- a/src/process/member_rotation.ts
+++ b/src/process/member_rotation.ts
@@ -1,5 +1,5 @@
 /**
- * The order in which members are probed.
+ * Order in which members are probed.
  *
  * @module
  */
@@ -7,8 +7,8 @@
 import type { Random } from "./random.ts";
 
 /**
- * Gives every member once in each round, in an order shuffled anew: with a
- * free choice each time, a dead VM could stay unprobed for long by chance.
+ * Returns each member once per round, in a newly shuffled order. If each pick
+ * were random, a dead VM could by chance remain unprobed for long.
  */
 export class MemberRotation {
   readonly #random: Random;
@@ -22,7 +22,7 @@
     return new MemberRotation(random);
   }
 
-  /** The next of `members`; undefined when there are none. */
+  /** The next of `members`; undefined if there are none. */
   takeNext(members: readonly VmId[]): VmId | undefined {
     if (members.length === 0) return undefined;
     const present = new Set(members);
--- a/src/process/member_states.ts
+++ b/src/process/member_states.ts
@@ -1,8 +1,9 @@
 /**
- * What this VM believes of the other entry VMs, and what it says of itself.
+ * States of the other entry VMs as this VM knows them, and the state that it
+ * reports about itself.
  *
- * The rules are those of SWIM: a suspicion stands for a time in which the
- * suspect may refute it by a higher counter; then the VM counts as dead.
+ * The rules are those of SWIM: a suspect has a certain time to refute the
+ * suspicion with a higher counter; after that it is considered dead.
  *
  * @module
  */
@@ -10,35 +11,35 @@
 import type { Clock } from "./clock.ts";
 import type { MemberUpdate, PeerIdentity } from "./peer_api.ts";
 
-/** Stands for the life of a VM of which none is known by name. */
+/** Stands for an incarnation that is not known. */
 export const UNKNOWN_INCARNATION = "?" as Incarnation;
 
 const STATE_ORDER = { alive: 0, suspect: 1, dead: 2 } as const;
 
 type Liveness = keyof typeof STATE_ORDER;
 
-interface Belief {
+interface MemberRecord {
   incarnation: Incarnation;
   state: Liveness;
-  /** Announced by the VM itself; it holds for the rest of its life. */
+  /** Announced by the VM itself; final for its incarnation. */
   draining: boolean;
   counter: number;
   suspectedAt: number;
 }
 
-/** What one VM tells of itself in each message. */
+/** What a VM reports about itself in each message. */
 export interface SelfReport {
   from: PeerIdentity;
   counter: number;
   draining: boolean;
 }
 
-/** A table of beliefs; VMs without an entry count as alive. */
+/** Member states; a VM without an entry is considered alive. */
 export class MemberStates {
   readonly #self: PeerIdentity;
   readonly #clock: Clock;
-  readonly #onNews: (news: MemberUpdate) => void;
-  readonly #beliefs = new Map<VmId, Belief>();
+  readonly #onUpdate: (update: MemberUpdate) => void;
+  readonly #members = new Map<VmId, MemberRecord>();
   #counter = 0;
   #draining = false;
 
@@ -46,27 +47,27 @@
     options: {
       self: PeerIdentity;
       clock: Clock;
-      onNews: (news: MemberUpdate) => void;
+      onUpdate: (update: MemberUpdate) => void;
     },
   ) {
     this.#self = options.self;
     this.#clock = options.clock;
-    this.#onNews = options.onNews;
+    this.#onUpdate = options.onUpdate;
   }
 
-  /** `onNews` gets each change of a belief, to be passed on. */
+  /** `onUpdate` is called with each state change, for the gossip. */
   static create(
     options: {
       self: PeerIdentity;
       clock: Clock;
-      onNews: (news: MemberUpdate) => void;
+      onUpdate: (update: MemberUpdate) => void;
     },
   ): MemberStates {
     return new MemberStates(options);
   }
 
-  /** What this VM tells of itself. */
-  getOwn(): SelfReport {
+  /** What this VM reports about itself. */
+  getSelfReport(): SelfReport {
     return {
       from: this.#self,
       counter: this.#counter,
@@ -77,167 +78,174 @@
   startDraining(): void {
     if (this.#draining) return;
     this.#draining = true;
-    this.#announceOwn();
+    this.#announceSelf();
   }
 
   isDead(vm: VmId): boolean {
-    return this.#beliefs.get(vm)?.state === "dead";
+    return this.#members.get(vm)?.state === "dead";
   }
 
   isDraining(vm: VmId): boolean {
     if (vm === this.#self.vm) return this.#draining;
-    return this.#beliefs.get(vm)?.draining ?? false;
+    return this.#members.get(vm)?.draining ?? false;
   }
 
-  /** What is believed of `vm`, unless it simply counts as alive. */
-  findDoubt(vm: VmId): MemberUpdate | undefined {
-    const belief = this.#beliefs.get(vm);
-    if (belief === undefined || belief.state === "alive") return undefined;
-    return toNews(vm, belief);
+  /** The state of `vm` if it is suspected or dead. */
+  findSuspicion(vm: VmId): MemberUpdate | undefined {
+    const record = this.#members.get(vm);
+    if (record === undefined || record.state === "alive") return undefined;
+    return toUpdate(vm, record);
   }
 
-  /** Takes in what a VM said of itself just now. */
-  noteContact(contact: SelfReport): void {
-    const { vm, incarnation } = contact.from;
+  /** Applies what a VM just reported about itself. */
+  applySelfReport(report: SelfReport): void {
+    const { vm, incarnation } = report.from;
     if (vm === this.#self.vm) return;
-    const belief = this.#beliefs.get(vm);
-    // A late duplicate of an old message must not undo a newer belief, and a
-    // doubt is cleared only by the counter that its refutation raised.
-    const isSameLife = belief?.incarnation === incarnation;
-    if (isSameLife && contact.counter <= belief.counter) return;
-    const isOldNews = belief === undefined && !contact.draining &&
-      contact.counter === 0;
+    const record = this.#members.get(vm);
+    // A delayed duplicate must not overwrite a newer state, and a suspicion
+    // ends only with the higher counter of its refutation.
+    const isSameIncarnation = record?.incarnation === incarnation;
+    if (isSameIncarnation && report.counter <= record.counter) return;
+    const isDefault = record === undefined && !report.draining &&
+      report.counter === 0;
     this.#put(vm, {
       incarnation,
       state: "alive",
-      draining: contact.draining,
-      counter: contact.counter,
+      draining: report.draining,
+      counter: report.counter,
       suspectedAt: 0,
-    }, isOldNews);
+    }, isDefault);
   }
 
-  /** Takes in what a third VM said. */
-  noteNews(news: MemberUpdate): void {
-    if (news.vm === this.#self.vm) this.#handleDoubt(news);
-    else if (this.#isNewer(news)) this.#put(news.vm, this.#toBelief(news));
+  /** Applies an update that another VM forwarded. */
+  applyUpdate(update: MemberUpdate): void {
+    if (update.vm === this.#self.vm) this.#handleSuspicion(update);
+    else if (this.#isNew(update)) this.#put(update.vm, this.#toRecord(update));
   }
 
-  /** A probe of `vm`, direct and through others, got no answer. */
-  noteSilence(vm: VmId): void {
-    const belief = this.#beliefs.get(vm);
-    if (belief === undefined) {
-      // Nothing was ever heard of it, so there is no life to suspect by name.
+  /** Records that `vm` answered neither a direct nor an indirect probe. */
+  noteProbeFailure(vm: VmId): void {
+    const record = this.#members.get(vm);
+    if (record === undefined) {
+      // No message of this VM was ever received, so its incarnation is unknown.
       const incarnation = UNKNOWN_INCARNATION;
       this.#put(
         vm,
-        this.#toBelief({
+        this.#toRecord({
           vm,
           incarnation,
           state: "suspect",
           counter: 0,
         }),
       );
-    } else if (belief.state === "alive") {
+    } else if (record.state === "alive") {
       this.#put(vm, {
-        ...belief,
+        ...record,
         state: "suspect",
         suspectedAt: this.#clock.now(),
       });
     }
   }
 
-  /** Declares dead whom nobody cleared within `suspicionMs`. */
-  applySuspicions(suspicionMs: number): VmId[] {
+  /**
+   * Declares suspects dead that were not cleared within `suspicionMs`, and
+   * returns them.
+   */
+  applySuspicionTimeout(suspicionMs: number): VmId[] {
     const now = this.#clock.now();
     const dead: VmId[] = [];
-    for (const [vm, belief] of this.#beliefs) {
-      if (belief.state !== "suspect") continue;
-      if (now - belief.suspectedAt < suspicionMs) continue;
-      this.#put(vm, { ...belief, state: "dead" });
+    for (const [vm, record] of this.#members) {
+      if (record.state !== "suspect") continue;
+      if (now - record.suspectedAt < suspicionMs) continue;
+      this.#put(vm, { ...record, state: "dead" });
       dead.push(vm);
     }
     return dead;
   }
 
-  /** Gives every suspect its whole time again, after a pause of this VM. */
-  resumeSuspicions(): void {
-    for (const belief of this.#beliefs.values()) {
-      belief.suspectedAt = this.#clock.now();
+  /**
+   * Restarts the suspicion timeout of every suspect after this VM was paused.
+   */
+  restartSuspicions(): void {
+    for (const record of this.#members.values()) {
+      record.suspectedAt = this.#clock.now();
     }
   }
 
-  /** Forgets the VMs that are not in `listed`. */
+  /** Removes the VMs that are not in `listed`. */
   removeUnlisted(listed: ReadonlySet<VmId>): void {
-    for (const vm of this.#beliefs.keys()) {
-      if (!listed.has(vm)) this.#beliefs.delete(vm);
+    for (const vm of this.#members.keys()) {
+      if (!listed.has(vm)) this.#members.delete(vm);
     }
   }
 
-  #handleDoubt(news: MemberUpdate): void {
-    const isOwnLife = news.incarnation === this.#self.incarnation ||
-      news.incarnation === UNKNOWN_INCARNATION;
-    const isDoubt = news.state === "suspect" || news.state === "dead";
-    if (!isOwnLife || !isDoubt || news.counter < this.#counter) return;
-    this.#counter = news.counter;
-    this.#announceOwn();
+  #handleSuspicion(update: MemberUpdate): void {
+    const isCurrent = update.incarnation === this.#self.incarnation ||
+      update.incarnation === UNKNOWN_INCARNATION;
+    const isSuspicion = update.state === "suspect" || update.state === "dead";
+    if (!isCurrent || !isSuspicion || update.counter < this.#counter) return;
+    this.#counter = update.counter;
+    this.#announceSelf();
   }
 
-  #announceOwn(): void {
+  #announceSelf(): void {
     this.#counter += 1;
-    this.#onNews({
+    this.#onUpdate({
       ...this.#self,
       state: this.#draining ? "draining" : "alive",
       counter: this.#counter,
     });
   }
 
-  #isNewer(news: MemberUpdate): boolean {
-    const belief = this.#beliefs.get(news.vm);
-    if (belief === undefined) return true;
-    const state = toLiveness(news);
-    if (belief.incarnation === news.incarnation) {
-      if (news.counter !== belief.counter) {
-        return news.counter > belief.counter;
+  #isNew(update: MemberUpdate): boolean {
+    const record = this.#members.get(update.vm);
+    if (record === undefined) return true;
+    const state = toLiveness(update);
+    if (record.incarnation === update.incarnation) {
+      if (update.counter !== record.counter) {
+        return update.counter > record.counter;
       }
-      if (STATE_ORDER[state] !== STATE_ORDER[belief.state]) {
-        return STATE_ORDER[state] > STATE_ORDER[belief.state];
+      if (STATE_ORDER[state] !== STATE_ORDER[record.state]) {
+        return STATE_ORDER[state] > STATE_ORDER[record.state];
       }
-      return news.state === "draining" && !belief.draining;
+      return update.state === "draining" && !record.draining;
     }
-    // Lives cannot be ordered by their names. Doubt about another life says
-    // nothing of the one known; word of another life counts where the one
-    // known is in doubt. Else the VM's own next message decides.
-    return state === "alive" && belief.state !== "alive";
+    // Incarnations have no order. A suspicion of another incarnation does not
+    // apply to the known one. A live state of another incarnation applies only
+    // if the known one is suspected or dead; otherwise the VM's own next
+    // message decides.
+    return state === "alive" && record.state !== "alive";
   }
 
-  #toBelief(news: MemberUpdate): Belief {
-    const known = this.#beliefs.get(news.vm);
-    const isSameLife = known?.incarnation === news.incarnation;
+  #toRecord(update: MemberUpdate): MemberRecord {
+    const known = this.#members.get(update.vm);
+    const isSameIncarnation = known?.incarnation === update.incarnation;
     return {
-      incarnation: news.incarnation,
-      state: toLiveness(news),
-      draining: news.state === "draining" || (isSameLife && known.draining),
-      counter: news.counter,
+      incarnation: update.incarnation,
+      state: toLiveness(update),
+      draining: update.state === "draining" ||
+        (isSameIncarnation && known.draining),
+      counter: update.counter,
       suspectedAt: this.#clock.now(),
     };
   }
 
-  #put(vm: VmId, belief: Belief, isOldNews = false): void {
-    this.#beliefs.set(vm, belief);
-    if (!isOldNews) this.#onNews(toNews(vm, belief));
+  #put(vm: VmId, record: MemberRecord, isDefault = false): void {
+    this.#members.set(vm, record);
+    if (!isDefault) this.#onUpdate(toUpdate(vm, record));
   }
 }
 
-function toLiveness(news: MemberUpdate): Liveness {
-  return news.state === "draining" ? "alive" : news.state;
+function toLiveness(update: MemberUpdate): Liveness {
+  return update.state === "draining" ? "alive" : update.state;
 }
 
-function toNews(vm: VmId, belief: Belief): MemberUpdate {
-  const isDraining = belief.state === "alive" && belief.draining;
+function toUpdate(vm: VmId, record: MemberRecord): MemberUpdate {
+  const isDraining = record.state === "alive" && record.draining;
   return {
     vm,
-    incarnation: belief.incarnation,
-    state: isDraining ? "draining" : belief.state,
-    counter: belief.counter,
+    incarnation: record.incarnation,
+    state: isDraining ? "draining" : record.state,
+    counter: record.counter,
   };
 }
--- a/src/process/membership_view.ts
+++ b/src/process/membership_view.ts
@@ -1,5 +1,6 @@
 /**
- * What a VM knows of the others: the published list and its own probes.
+ * A VM's view of the other VMs: the published list combined with its own
+ * probes.
  *
  * @module
  */
@@ -10,21 +11,24 @@
 export abstract class MembershipView {
   abstract getList(): MembershipList;
   abstract findVm(vm: VmId): ListedVm | undefined;
-  /** Entry VMs in the list, this one among them, leaving ones too. */
+  /** Entry VMs of the list, including this one and those that are leaving. */
   abstract listEntryVms(): ListedVm[];
-  /** Upstreams of `pool` that may get new work, by list and own word. */
+  /**
+   * Upstreams of `pool` that may get new requests according to the list and to
+   * their own notices.
+   */
   abstract listUpstreams(pool: PoolName): ListedVm[];
-  /** Whether this VM believes that `vm` answers now. */
+  /** Whether this VM considers `vm` able to answer now. */
   abstract isReachable(vm: VmId): boolean;
   abstract isDraining(vm: VmId): boolean;
   /**
-   * The VM that should act as the owner of `key` now: the first in rendezvous
-   * order over the published list that this VM believes reachable and not
-   * draining. Every VM with the same list and beliefs computes the same one.
+   * The current owner of `key`: the first VM in rendezvous order over the
+   * published list that this VM considers reachable and not draining. VMs with
+   * the same list and the same member states find the same owner.
    */
   abstract findOwner(key: string): VmId | undefined;
-  /** The owner that the published list alone names, for orders. */
+  /** The owner according to the published list alone, for engine commands. */
   abstract findListedOwner(key: string): VmId | undefined;
-  /** Called after each change of the list or of a belief. */
+  /** Calls `callback` after each change of the list or of a member state. */
   abstract onChange(callback: () => void): void;
 }
--- a/src/process/owned_placement.ts
+++ b/src/process/owned_placement.ts
@@ -1,6 +1,6 @@
 /**
- * A routed VM's part in placing the requests of a large fleet: it asks owners,
- * and answers those who take it for one.
+ * Placement of requests in a large fleet: requests placements from pool owners,
+ * and answers such requests where this VM is an owner.
  *
  * @module
  */
@@ -9,31 +9,31 @@
 import type { Log } from "./log.ts";
 import type { Random } from "./random.ts";
 import {
+  type PlacementRole,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
-  type PlacementRole,
   type PlacementState,
   ReplicaChooser,
   type ReplicaDirectory,
 } from "./placement/index.ts";
 import {
-  type AnswerMessage,
-  type AskMessage,
   type FleetMember,
   type FleetPeer,
   type FleetPeers,
-  type FleetWork,
   isSmallFleet,
-  PlacementAsker,
+  type PlacementAnswerMessage,
+  PlacementRequester,
+  type PlacementRequestMessage,
   PoolOwners,
-  type WorkShare,
+  type WorkReport,
+  type WorkUpdate,
 } from "./seeded_fleet/index.ts";
 
-/** As `formatLoads` gives it for a VM without work. */
+/** Result of `formatLoads` for a VM without work. */
 const NO_LOADS = "[[],[],[]]";
 
-/** What the part needs. */
+/** Options of `OwnedPlacement`. */
 export interface OwnedPlacementOptions {
   vm: VmId;
   clock: Clock;
@@ -45,25 +45,27 @@
   peers: FleetPeers;
   /** Whether the settings name other VMs. */
   hasSeeds: () => boolean;
-  /** This VM, as others rank it. */
+  /** This VM as a candidate for owner. */
   getSelf: () => FleetMember;
-  send: (to: FleetPeer, message: AskMessage) => void;
+  send: (to: FleetPeer, message: PlacementRequestMessage) => void;
 }
 
-/** Asks and answers. */
+/** Requests and answers placements. */
 export class OwnedPlacement {
   readonly #options: OwnedPlacementOptions;
-  readonly #asker: PlacementAsker;
+  readonly #requester: PlacementRequester;
   readonly #chooser: ReplicaChooser;
   #owners: PoolOwners | undefined;
-  /** The loads that were told last, by the duties of those that were told. */
-  #toldLoads = new Map<string, string>();
+  /**
+   * The loads that were last sent to each group of owners, by its partitions.
+   */
+  #lastSentLoads = new Map<string, string>();
 
   constructor(options: OwnedPlacementOptions) {
     const { vm, clock, log, replicas, placement, send } = options;
     this.#options = options;
     this.#chooser = ReplicaChooser.create(replicas, placement, options);
-    this.#asker = PlacementAsker.create({
+    this.#requester = PlacementRequester.create({
       vm,
       clock,
       log,
@@ -77,23 +79,23 @@
   }
 
   /**
-   * Asks the pool's owner where a request should go. Undefined where this VM
-   * is the owner, where there is none, and where it is silent.
+   * Requests a placement from the pool's owner. Resolves to undefined if this
+   * VM is the owner, if there is none, or if it does not answer.
    */
-  async askOwner(request: PlacementRequest): Promise<OwnerDecision> {
+  async fetchPlacement(request: PlacementRequest): Promise<OwnerDecision> {
     if (this.#findOwners() === undefined) return undefined;
-    const placed = await this.#asker.ask(request);
+    const placed = await this.#requester.fetchPlacement(request);
     if (placed === undefined || placed === "full") return placed;
     const { replicas } = this.#options;
     const replica = replicas.find(placed.replica);
-    // One VM may have read of a replica that comes or leaves before another.
+    // VMs may receive the addition or removal of a replica at different times.
     if (replica === undefined || !replicas.isReady(replica.id)) {
       return undefined;
     }
     return { ...placed, replica };
   }
 
-  answerAsk(message: AskMessage): AnswerMessage {
+  answerRequest(message: PlacementRequestMessage): PlacementAnswerMessage {
     const { vm, ask } = message;
     const placement = this.#chooser.chooseFor(vm, ask, message);
     if (placement === undefined) {
@@ -112,50 +114,52 @@
     };
   }
 
-  noteAnswer(answer: AnswerMessage): void {
-    this.#asker.noteAnswer(answer);
+  noteAnswer(answer: PlacementAnswerMessage): void {
+    this.#requester.noteAnswer(answer);
   }
 
-  /** This VM's work, to be told to those that place requests of its pools. */
-  takeWork(): WorkShare[] {
+  /** Work of this VM for each group of owners, limited to their pools. */
+  takeWorkUpdates(): WorkUpdate[] {
     const { placement, replicas } = this.#options;
-    const news = placement.takeUpdate();
+    const update = placement.takeUpdate();
     const leaving = replicas.listLeaving();
-    const work = { ...news, ...this.#asker.numbers, leaving };
+    const work = { ...update, ...this.#requester.requestNumbers, leaving };
     const owners = this.#findOwners();
     if (owners === undefined) {
       return [{ owners: undefined, work, isNew: true }];
     }
-    const told = new Map<string, string>();
-    const shares = owners.groups.map(({ duties, vms }) => {
-      const part = this.#pickWork(work, duties);
-      const key = duties.join();
+    const sentLoads = new Map<string, string>();
+    const workUpdates = owners.groups.map(({ partitions, vms }) => {
+      const part = this.#pickWork(work, partitions);
+      const key = partitions.join();
       const loads = formatLoads(part);
-      told.set(key, loads);
-      const isNew = loads !== (this.#toldLoads.get(key) ?? NO_LOADS) ||
+      sentLoads.set(key, loads);
+      const isNew = loads !== (this.#lastSentLoads.get(key) ?? NO_LOADS) ||
         [part.results, part.speeds, part.placements, part.reads]
           .some((entries) => entries.length > 0);
       return { owners: vms, work: part, isNew };
     });
-    this.#toldLoads = told;
-    return shares;
+    this.#lastSentLoads = sentLoads;
+    return workUpdates;
   }
 
-  /** Takes in that what `vm` told of its work still holds. */
+  /** Records that the last work report of `vm` still holds. */
   noteAlive(vm: VmId): void {
     this.#options.placement.loads.notePeerAlive(vm);
   }
 
-  /** Takes in what another VM told of its work. */
-  noteWork(vm: VmId, work: FleetWork): void {
+  /** Applies another VM's work report. */
+  applyWork(vm: VmId, work: WorkReport): void {
     const { placement, replicas } = this.#options;
     replicas.notePeerLeaving(work.leaving);
     placement.loads.unreported.settle(vm, work.lastAsk, work.openAsks);
     placement.applyUpdate(vm, work);
   }
 
-  /** Who decides on a pool's requests beside this VM. */
-  getShare(pool: PoolName): PlacementRole {
+  /**
+   * Role of this VM in the placement of a pool's requests, and the other VMs.
+   */
+  getRole(pool: PoolName): PlacementRole {
     const { vm, peers } = this.#options;
     const others = peers.listKnown();
     if (others.length === 0 && this.#options.hasSeeds()) {
@@ -164,17 +168,18 @@
     if (this.#findOwners()?.listOwners(pool).includes(vm)) {
       return { role: "owner", others };
     }
-    // One that hears few of a large fleet is cut off: the others have owners.
+    // A VM that knows of only a few others in a large fleet is cut off; the
+    // others have owners.
     const isEqual = isSmallFleet(1 + others.length);
     return { role: isEqual ? "equal" : "alone", others };
   }
 
-  /** Everybody who places requests of any pool; undefined for all VMs. */
+  /** VMs that place requests of any pool; undefined if every VM does. */
   listOwners(): ReadonlySet<VmId> | undefined {
     return this.#findOwners()?.owners;
   }
 
-  /** Who is to be asked for a pool, up to this VM itself. */
+  /** Owners that precede this VM for a pool; all owners if it is none. */
   #listOwnersBefore(pool: PoolName): FleetPeer[] {
     const { vm, peers } = this.#options;
     const owners = this.#findOwners()?.listOwners(pool) ?? [];
@@ -185,9 +190,9 @@
   }
 
   /**
-   * The owners of this moment; undefined in a fleet that needs none. They are
-   * found anew only when somebody comes, leaves or changes: to order all VMs
-   * for each request took 0.08 ms of processor time among 195 of them.
+   * The current owners; undefined in a fleet that needs none. They are computed
+   * again only when a VM is added, removed or changed: ordering 195 VMs for
+   * each request took 0.08 ms of processor time.
    */
   #findOwners(): PoolOwners | undefined {
     const { getSelf, peers } = this.#options;
@@ -201,29 +206,32 @@
     return this.#owners.isNeeded ? this.#owners : undefined;
   }
 
-  /** The part that regards the pools of some duties. */
-  #pickWork(work: FleetWork, duties: readonly string[]): FleetWork {
+  /** The part of `work` that concerns the pools of `partitions`. */
+  #pickWork(work: WorkReport, partitions: readonly string[]): WorkReport {
     const { replicas } = this.#options;
-    const isPart = ([replica]: readonly [VmId, ...unknown[]]) => {
+    const isIncluded = ([replica]: readonly [VmId, ...unknown[]]) => {
       const pool = replicas.find(replica)?.pool;
       return pool !== undefined &&
-        duties.includes(this.#owners?.findDuty(pool) ?? "");
+        partitions.includes(this.#owners?.findPartition(pool) ?? "");
     };
     return {
       ...work,
-      loads: work.loads.filter(isPart),
-      results: work.results.filter(isPart),
-      speeds: work.speeds.filter(isPart),
-      placements: work.placements.filter(isPart),
-      reads: work.reads.filter(isPart),
-      limits: work.limits.filter(isPart),
-      leaving: work.leaving.filter(isPart),
+      loads: work.loads.filter(isIncluded),
+      results: work.results.filter(isIncluded),
+      speeds: work.speeds.filter(isIncluded),
+      placements: work.placements.filter(isIncluded),
+      reads: work.reads.filter(isIncluded),
+      limits: work.limits.filter(isIncluded),
+      leaving: work.leaving.filter(isIncluded),
     };
   }
 }
 
-/** What is told again and again, as text that shows whether any of it changed. */
-function formatLoads({ loads, limits, leaving }: FleetWork): string {
+/**
+ * Formats the entries that every report repeats, to detect whether any of them
+ * changed.
+ */
+function formatLoads({ loads, limits, leaving }: WorkReport): string {
   const sent = limits.map((
     [replica, requestsPerS, _ageMs, count],
   ) => [replica, requestsPerS, count]);
--- a/src/process/pause_detector.ts
+++ b/src/process/pause_detector.ts
@@ -1,46 +1,49 @@
 /**
- * Finds out that this process did not run for a while.
+ * Detects that this process was paused.
  *
  * @module
  */
 import type { CancelTimer, Clock } from "./clock.ts";
 
-/** A gap that counts as a pause; below every lease and suspicion timeout. */
-const PAUSE_GAP_MS = 1_000;
+/**
+ * Minimum gap that counts as a pause; shorter than every lease and suspicion
+ * timeout.
+ */
+const MIN_PAUSE_MS = 1_000;
 
-const TICK_MS = 250;
+const CHECK_INTERVAL_MS = 250;
 
 /**
- * Watches the monotonic clock.
+ * Detects pauses by the monotonic clock.
  *
- * A process that was stopped and continued still holds what it believed before:
- * it would go on as the owner of shards that others have taken over, which
- * would show as replicas with twice their slots. A tick that comes late tells
- * of the gap, and `check` finds it even before the late tick ran.
+ * A process that was stopped and continued still has its old state: it would
+ * act as the owner of shards that others have taken over, and replicas would
+ * get twice as many requests as they have slots. A late timer reveals the gap,
+ * and `check` detects it even before the late timer fires.
  */
 export class PauseDetector {
   readonly #clock: Clock;
   readonly #callbacks: ((gapMs: number) => void)[] = [];
-  #lastTickAt: number;
+  #lastCheckAt: number;
   #cancel: CancelTimer | undefined;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#lastTickAt = clock.now();
+    this.#lastCheckAt = clock.now();
   }
 
   static create(clock: Clock): PauseDetector {
     return new PauseDetector(clock);
   }
 
-  /** Calls `callback` with the length of each pause, before anything else. */
+  /** Calls `callback` with the length of each pause, before other code runs. */
   onPause(callback: (gapMs: number) => void): void {
     this.#callbacks.push(callback);
   }
 
   start(): void {
-    this.#lastTickAt = this.#clock.now();
-    this.#startTick();
+    this.#lastCheckAt = this.#clock.now();
+    this.#startTimer();
   }
 
   stop(): void {
@@ -48,22 +51,22 @@
     this.#cancel = undefined;
   }
 
-  /** Whether a pause has just been found; the callbacks have run then. */
+  /** Whether a pause was just detected; the callbacks have run in that case. */
   check(): boolean {
     if (this.#cancel === undefined) return false;
     const now = this.#clock.now();
-    const gapMs = now - this.#lastTickAt;
-    if (gapMs < PAUSE_GAP_MS) return false;
-    this.#lastTickAt = now;
+    const gapMs = now - this.#lastCheckAt;
+    if (gapMs < MIN_PAUSE_MS) return false;
+    this.#lastCheckAt = now;
     for (const callback of this.#callbacks) callback(gapMs);
     return true;
   }
 
-  #startTick(): void {
-    this.#cancel = this.#clock.startTimer(TICK_MS, () => {
+  #startTimer(): void {
+    this.#cancel = this.#clock.startTimer(CHECK_INTERVAL_MS, () => {
       this.check();
-      this.#lastTickAt = this.#clock.now();
-      this.#startTick();
+      this.#lastCheckAt = this.#clock.now();
+      this.#startTimer();
     });
   }
 }
--- a/src/process/peer_api.ts
+++ b/src/process/peer_api.ts
@@ -1,8 +1,8 @@
 /**
- * What one entry VM asks of another: the whole protocol between them.
+ * The protocol between entry VMs.
  *
- * Every time here is an age or a duration in milliseconds, never a clock time:
- * the VMs' clocks need not agree.
+ * All times are ages or durations in milliseconds, never clock times, so the
+ * clocks of the VMs need not agree.
  *
  * @module
  */
@@ -21,13 +21,13 @@
 import type { RequestStatus } from "../request/request_status.ts";
 import type { SuspectEntry } from "./quarantine/index.ts";
 
-/** Who calls. */
+/** Identity of the calling VM. */
 export interface PeerIdentity {
   vm: VmId;
   incarnation: Incarnation;
 }
 
-/** Asks a shard's owner for a slot, or renews the place in its queue. */
+/** Requests a slot from a shard's owner, or renews the place in its queue. */
 export interface AcquireCall {
   from: PeerIdentity;
   shard: ShardId;
@@ -40,36 +40,38 @@
   adapter: string | undefined;
   /** Time since the request arrived at the system. */
   ageMs: number;
-  /** Time left until its total target. */
+  /** Time left until the total target of the request. */
   deadlineInMs: number;
   promptTokens: number;
-  /** Cap on generated tokens that the caller gave. */
+  /** Maximum number of generated tokens that the caller allows. */
   maxTokens: number;
-  /** Tokens that the caller already has, when a broken stream resumes. */
+  /** Tokens already delivered to the caller when a broken stream resumes. */
   doneTokens: number;
   idempotent: boolean;
   /** Hashes of the prompt's growing prefixes, shortest first. */
   prefixes: string[];
-  /** Upstreams that this request must not get again. */
+  /** Upstreams that must not be chosen again for this request. */
   avoid: VmId[];
-  /** How long the owner may hold the call before it answers `queued`. */
+  /** Time for which the owner may hold the call before it answers `queued`. */
   holdMs: number;
 }
 
-/** A slot on one replica. */
+/** Lease of a slot on one replica. */
 export interface SlotLease {
   lease: LeaseId;
   shard: ShardId;
   upstream: VmId;
-  /** How long the lease stands unless renewed, from when it was asked for. */
+  /**
+   * Time until the lease expires unless renewed, from when it was requested.
+   */
   ttlMs: number;
-  /** The priority to pass on to the engine; lower goes first. */
+  /** Priority to forward to the engine; lower goes first. */
   priority: number;
-  /** True where an owner granted it, false for a VM's local share. */
+  /** True if an owner granted the lease, false for a VM's local share. */
   byOwner: boolean;
 }
 
-/** The owner's answer to an `AcquireCall`. */
+/** Answer of the owner to an `AcquireCall`. */
 export type AcquireAnswer =
   | { kind: "granted"; lease: SlotLease }
   | { kind: "queued"; ahead: number; behind: string; expectedMs: number }
@@ -77,15 +79,15 @@
   | { kind: "not_owner"; owner: VmId | undefined }
   | { kind: "pass_on"; shard: ShardId };
 
-/** The limit on requests a second that an upstream's answer named. */
+/** Limit on requests a second that an upstream's answer named. */
 export interface RateLimitUpdate {
-  /** Left out where it named none. */
+  /** Undefined if the answer named no limit. */
   requestsPerS?: number;
   /** Time since the answer. */
   ageMs: number;
 }
 
-/** What the holder of a lease tells its owner. */
+/** Report of a lease's holder to its owner. */
 export interface LeaseUpdate {
   lease: LeaseId;
   ticket: TicketId;
@@ -93,44 +95,44 @@
   className: ClassName;
   workspace: WorkspaceName;
   idempotent: boolean;
-  /** Running leases are renewed; the others give the slot back. */
+  /** Running leases are renewed; all other states release the slot. */
   state: "running" | "done" | "failed" | "cancelled" | "unused";
   promptTokens: number;
   tokens: number;
   /** Time from sending to the first token, once known. */
   firstTokenMs: number | undefined;
-  /** Mean time between tokens since the last news, once known. */
+  /** Mean time between tokens since the last update, once known. */
   betweenTokensMs: number | undefined;
-  /** What the answer under the lease told, once known. */
+  /** Rate limit in the answer under this lease, once known. */
   rateLimit?: RateLimitUpdate | undefined;
-  /** How much longer the upstream wants nothing, by its refusal. */
+  /** Remaining time for which the upstream's refusal asked for no requests. */
   backOffMs?: number | undefined;
 }
 
-/** Renews, returns and re-announces leases, many in one call. */
+/** Renews, releases and re-announces leases, many in one call. */
 export interface SyncCall {
   from: PeerIdentity;
   shard: ShardId;
   news: LeaseUpdate[];
-  /** Tickets whose callers went away. */
+  /** Tickets whose callers disconnected. */
   withdrawn: TicketId[];
 }
 
-/** The owner's answer to a `SyncCall`. */
+/** Answer of the owner to a `SyncCall`. */
 export interface SyncAnswer {
   isOwner: boolean;
-  /** Leases to stop and resume elsewhere, to make room for a higher tier. */
+  /** Leases to stop and resume elsewhere, to free slots for a higher tier. */
   preempt: LeaseId[];
 }
 
-/** What a shard's owner lets the fleet know of it. */
+/** Load of a shard as its owner announces it to the fleet. */
 export interface ShardSummary {
   shard: ShardId;
   owner: VmId;
   /** Free slots now. */
   room: number;
   slots: number;
-  /** Requests waiting, by tier rank. */
+  /** Number of waiting requests by tier rank. */
   waitingByRank: Record<number, number>;
   /** The largest rank (lowest tier) that is running or waiting. */
   lowestRank: number;
@@ -138,11 +140,11 @@
   expectedWaitMs: number;
   /** Increases with each summary of one incarnation. */
   sequence: number;
-  /** The life of the owner's process that `sequence` counts in. */
+  /** Incarnation of the owner that `sequence` belongs to. */
   incarnation?: Incarnation | undefined;
 }
 
-/** A change in what a VM believes of another. */
+/** Change of a member's state. */
 export interface MemberUpdate {
   vm: VmId;
   incarnation: Incarnation;
@@ -151,107 +153,112 @@
   counter: number;
 }
 
-/** A SWIM probe with piggybacked changes. */
+/** SWIM probe with piggybacked updates. */
 export interface ProbeCall {
   from: PeerIdentity;
-  /** Counts the prober's incarnations' news. */
+  /** The sender's own counter, which it increases to refute a suspicion. */
   counter: number;
   draining: boolean;
   members: MemberUpdate[];
   summaries: ShardSummary[];
   configVersion: number;
-  /** Tells two contents under one version number apart. */
+  /** Distinguishes two contents with the same version number. */
   configDigest?: string;
-  /** From whom the sender has that version. */
+  /** VM from which the sender got that version. */
   configFrom?: string;
   listRevision: number;
   /** Time since the list was last known to be the newest published. */
   listAgeMs?: number;
 }
 
-/** The answer to a probe: what the prober sent, of the one that answers. */
+/** Answer to a probe: the same fields, filled in by the probed VM. */
 export type ProbeAnswer = ProbeCall;
 
-/** Asks for a configuration newer than `after`. */
+/** Requests a configuration newer than `after`. */
 export interface SnapshotCall {
   from: PeerIdentity;
   after: number;
-  /** The digest of what the asker has at `after`. */
+  /** Digest of the caller's configuration at `after`. */
   digest?: string;
-  /** The asker's list revision; a newer list comes along. */
+  /** Revision of the caller's list; a newer list is part of the answer. */
   listAfter: number;
-  /** Whether steps from `digest` will do in place of all records. */
+  /** Whether steps from `digest` are accepted in place of all records. */
   takesSteps?: boolean;
 }
 
-/** Records to take out at a place, and others to put there. */
+/** Records to remove at an index and records to insert there. */
 export interface RecordSplice {
   at: number;
   remove: number;
   add: unknown[];
 }
 
-/** What turns the records of one digest into those of another. */
+/** Changes that turn the records of one digest into those of another. */
 export interface ConfigurationStep {
   from: string;
   to: string;
-  /** One after the other; each place counts after the ones before it. */
+  /** Applied in order; each index counts after the splices before it. */
   splices: RecordSplice[];
 }
 
 /** Raw records as published, so that every VM validates them itself. */
 export interface SnapshotAnswer {
   version: number;
-  /** Undefined where there is nothing newer, or where steps lead to it. */
+  /** Undefined if there is nothing newer, or if steps lead to it. */
   records: unknown[] | undefined;
-  /** From what the asker has, oldest first, where it takes them. */
+  /**
+   * Steps from the caller's configuration, oldest first, if it accepts them.
+   */
   steps?: ConfigurationStep[];
   list: unknown | undefined;
 }
 
-/** Asks the owner of a workspace's limit for a chunk of it. */
+/** Requests a chunk of a workspace's limit from its owner. */
 export interface LimitCall {
   from: PeerIdentity;
   workspace: WorkspaceName;
-  /** Requests and tokens wanted. */
+  /** Wanted requests and tokens. */
   requests: number;
   tokens: number;
 }
 
-/** The chunk granted, which may be less than asked for. */
+/** The granted chunk, which may be smaller than requested. */
 export interface LimitAnswer {
   isOwner: boolean;
   requests: number;
   tokens: number;
   ttlMs: number;
-  /** When more may be there, if less was granted than asked for. */
+  /**
+   * Time after which more may be available, if the chunk is smaller than
+   * requested.
+   */
   retryAfterMs: number;
 }
 
-/** Claims the one run of a request id at the VM that issued the id. */
+/** Claims the execution of a request id at the VM that issued the id. */
 export interface ClaimCall {
   from: PeerIdentity;
   requestId: RequestId;
-  /** Repeats of one claim carry the same nonce and get the same answer. */
+  /** Repeats of one claim have the same nonce and get the same answer. */
   nonce: string;
 }
 
-/** Whether the claimer may run the request. */
+/** Whether the claiming VM may execute the request. */
 export type ClaimAnswer =
   | {
     kind: "granted";
-    /** Work must be sent within this time of the call. */
+    /** The request must be sent within this time of the call. */
     ttlMs: number;
   }
   | {
     kind: "taken";
-    /** Where the first run is or was. */
+    /** VM of the first execution. */
     runner: VmId;
     outcome: RunOutcome | "running" | "answered";
   }
   | { kind: "unknown_id" };
 
-/** Tells the issuing VM how a claimed run ended. */
+/** Reports the outcome of a claimed execution to the issuing VM. */
 export interface SettleCall {
   from: PeerIdentity;
   requestId: RequestId;
@@ -259,29 +266,29 @@
   outcome: RunOutcome | "answered";
 }
 
-/** Asks for a request's fate. */
+/** Requests the status of a request. */
 export interface RequestStatusCall {
   requestId: RequestId;
-  /** Whether the retained answer should come along. */
+  /** Whether to include the retained answer. */
   withAnswer: boolean;
 }
 
-/** A whole answer kept for resubmission, when it was small enough. */
+/** Complete answer, retained for resubmission if it was small enough. */
 export interface RetainedAnswer {
   status: number;
   headers: Record<string, string>;
   bodyBase64: string;
 }
 
-/** What this VM knows of a request. */
+/** What one VM knows of a request. */
 export interface RequestStatusAnswer {
   fate: RequestStatus | undefined;
   answer: RetainedAnswer | undefined;
-  /** Said by the VM that issued the id: nobody holds it now. */
+  /** Set by the VM that issued the id, if no execution of it is claimed now. */
   isFree?: boolean;
 }
 
-/** Hands a shard's queue on when its owner drains. */
+/** Transfers a shard's queue to its next owner when the owner drains. */
 export interface HandOverCall {
   from: PeerIdentity;
   shard: ShardId;
@@ -289,28 +296,28 @@
   leases: LeaseUpdate[];
 }
 
-/** Evidence against requests that replicas crashed under. */
+/** Evidence against requests under which replicas crashed. */
 export interface SuspectsCall {
   from: PeerIdentity;
   entries: SuspectEntry[];
 }
 
-/** Mergeable figures of one VM, for the report on service-level burn. */
+/** Mergeable statistics of one VM, for the report on service-level burn. */
 export interface StatsAnswer {
   vm: VmId;
   incarnation: Incarnation;
   upMs: number;
   configVersion: number;
-  /** Opaque to this module; src/process/burn_stats.ts reads it. */
+  /** Opaque to this module; src/process/burn_stats.ts parses it. */
   series: unknown;
 }
 
-/** One VM's answers to the others; also the interface of a remote VM. */
+/** Calls that an entry VM answers; also the interface of a remote VM. */
 export abstract class PeerApi {
   abstract acquire(call: AcquireCall): Promise<AcquireAnswer>;
   abstract syncLeases(call: SyncCall): Promise<SyncAnswer>;
   abstract probe(call: ProbeCall): Promise<ProbeAnswer>;
-  /** Probes `target` on behalf of a VM that cannot reach it itself. */
+  /** Probes `target` on behalf of a VM that cannot reach it. */
   abstract probeVia(target: VmId, call: ProbeCall): Promise<boolean>;
   abstract fetchSnapshot(call: SnapshotCall): Promise<SnapshotAnswer>;
   abstract leaseLimit(call: LimitCall): Promise<LimitAnswer>;
@@ -319,15 +326,15 @@
   abstract findFate(call: RequestStatusCall): Promise<RequestStatusAnswer>;
   abstract handOver(call: HandOverCall): Promise<boolean>;
   abstract collectStats(): Promise<StatsAnswer>;
-  /** Resolves to what the caller should know better. */
+  /** Resolves to the entries for which the caller lacks newer evidence. */
   abstract noteSuspects(call: SuspectsCall): Promise<SuspectEntry[]>;
 }
 
-/** Finds the channel to another VM. */
+/** Finds the client of another VM. */
 export abstract class PeerDirectory {
   /**
-   * The channel to `vm`. Its calls reject with a `StepError` when the VM does
-   * not answer in time, is not listed, or refuses the credential.
+   * The client of `vm`. Its calls reject with a `StepError` if the VM does not
+   * answer in time, is not listed, or refuses the credential.
    */
   abstract getPeer(vm: VmId): PeerApi;
 }
--- a/src/process/prober.ts
+++ b/src/process/prober.ts
@@ -1,5 +1,6 @@
 /**
- * Probes other entry VMs in the manner of SWIM and carries news with it.
+ * Probes other entry VMs by the SWIM protocol, with gossip piggybacked on the
+ * probes.
  *
  * @module
  */
@@ -12,33 +13,39 @@
 import { withTimeout } from "./with_timeout.ts";
 import type { ProbeAnswer, ProbeCall, ShardSummary } from "./peer_api.ts";
 
-const PERIOD_MS = 500;
+const PROBE_PERIOD_MS = 500;
 const PROBE_TIMEOUT_MS = 200;
-/** Through another VM the probe takes two hops more. */
+/** An indirect probe takes two more hops. */
 const INDIRECT_TIMEOUT_MS = 250;
-const INDIRECT_PROBES = 2;
-const LEAST_SUSPICION_PERIODS = 3;
-/** Each so many periods a VM that counts as dead is probed as well. */
+const INDIRECT_PROBE_COUNT = 2;
+const MIN_SUSPICION_PERIODS = 3;
+/** A dead VM is probed every this many periods. */
 const DEAD_PROBE_PERIODS = 4;
-/** Others told at once of a new version, or of a VM that is gone. */
+/** VMs that are informed at once of a new version or of a VM that is gone. */
 const FAN_OUT = 2;
-/** Between two such calls for VMs that are gone, so that many cost no more. */
-const URGENT_EVERY_MS = 1_000;
-/** Others asked at once after a pause, and how often before giving up. */
+/**
+ * Minimum time between urgent updates about VMs that are gone, so that many
+ * such VMs cost no more than one.
+ */
+const URGENT_INTERVAL_MS = 1_000;
+/**
+ * VMs that are probed at a time after a pause, the number of rounds, and the
+ * timeout of each.
+ */
 const REFRESH_PROBES = 3;
 const REFRESH_ROUNDS = 3;
 const REFRESH_TIMEOUT_MS = 1_000;
 
-/** What a prober needs. */
+/** Options of `Prober`. */
 export interface ProberOptions {
   environment: Environment;
   membership: FleetMembership;
   versions: VersionExchange;
-  /** Between two probes of this VM. */
+  /** Time between two probes of this VM. */
   periodMs?: number;
 }
 
-/** One VM's side of the failure detector. */
+/** Failure detector of one VM. */
 export class Prober {
   readonly summaries: ShardSummaries;
   readonly #environment: Environment;
@@ -48,14 +55,14 @@
   readonly #rotation: MemberRotation;
   readonly #stopped = new AbortController();
   #pauseCount = 0;
-  #urgentAt = -Infinity;
+  #lastUrgentAt = -Infinity;
   readonly #ownSuspects = new Set<VmId>();
 
   constructor(options: ProberOptions) {
     this.#environment = options.environment;
     this.#membership = options.membership;
     this.#versions = options.versions;
-    this.#periodMs = options.periodMs ?? PERIOD_MS;
+    this.#periodMs = options.periodMs ?? PROBE_PERIOD_MS;
     this.summaries = ShardSummaries.create(options.environment.clock);
     this.#rotation = MemberRotation.create(options.environment.random);
   }
@@ -64,10 +71,10 @@
     return new Prober(options);
   }
 
-  /** Starts the task that probes one member in each period. */
+  /** Starts to probe one member per period. */
   start(): void {
     this.#versions.onNewVersion(() => this.#probeSome(FAN_OUT));
-    this.#membership.onUrgentNews(() => this.#sendUrgentNews());
+    this.#membership.onUrgentUpdate(() => this.#sendUrgentUpdates());
     this.#membership.onPause(() => {
       this.#pauseCount += 1;
       void this.#updateView();
@@ -79,28 +86,28 @@
     this.#stopped.abort();
   }
 
-  /** Lets the fleet know of a shard that this VM owns. */
+  /** Announces the summary of a shard that this VM owns. */
   announceSummary(summary: ShardSummary): void {
     if (this.summaries.put(summary)) {
       this.#membership.gossip.putSummary(summary);
     }
   }
 
-  /** Announces at once that this VM drains. */
+  /** Announces at once that this VM is draining. */
   startDraining(): void {
     this.#membership.startDraining();
   }
 
-  /** Answers a probe, with this VM's own news. */
+  /** Answers a probe with this VM's own gossip. */
   answerProbe(call: ProbeCall): ProbeAnswer {
     this.#handleMessage(call);
     const { listAgeMs: _, ...versions } = call;
-    // How long the call was on its way is unknown, so its ages say nothing.
+    // The time that the call took is unknown, so the age in it is not used.
     void this.#versions.notePeerVersions(call.from.vm, versions);
     return this.#buildMessage(call.from.vm);
   }
 
-  /** Probes `target` on behalf of a VM that got no answer itself. */
+  /** Probes `target` on behalf of a VM that got no answer from it. */
   async answerProbeVia(target: VmId, call: ProbeCall): Promise<boolean> {
     this.#handleMessage(call);
     return await this.#probeDirect(target);
@@ -117,7 +124,7 @@
       const target = this.#rotation.takeNext(this.#listMembers());
       if (target !== undefined) await this.#probeMember(target);
       this.#applySuspicions();
-      this.summaries.removeOld();
+      this.summaries.removeExpired();
       await periodOver;
     }
   }
@@ -126,8 +133,8 @@
     const pauseCount = this.#pauseCount;
     if (await this.#probeDirect(target)) return;
     if (await this.#probeIndirect(target)) return;
-    // After a pause of this VM the timeouts ran out while nobody listened:
-    // the silence was its own, and a whole fleet would fall under suspicion.
+    // During a pause of this VM the timeouts expired without anyone listening
+    // for answers; counting them would make the whole fleet suspect.
     if (this.#membership.isRecovering()) return;
     if (pauseCount !== this.#pauseCount || this.#stopped.signal.aborted) {
       return;
@@ -139,10 +146,10 @@
 
   async #probeDirect(target: VmId): Promise<boolean> {
     const { clock, peers } = this.#environment;
-    const askedAt = clock.now();
+    const sentAt = clock.now();
     const probe = peers.getPeer(target).probe(this.#buildMessage(target));
     const isAnswered = probe.then(
-      (answer) => this.#handleAnswer(target, answer, askedAt) !== undefined,
+      (answer) => this.#handleAnswer(target, answer, sentAt) !== undefined,
       () => false,
     );
     const result = await withTimeout(isAnswered, PROBE_TIMEOUT_MS, clock);
@@ -152,28 +159,34 @@
   async #probeIndirect(target: VmId): Promise<boolean> {
     const { clock, peers } = this.#environment;
     const others = this.#listMembers().filter((vm) => vm !== target);
-    const helpers = this.#environment.random.pickSome(others, INDIRECT_PROBES);
+    const helpers = this.#environment.random.pickSome(
+      others,
+      INDIRECT_PROBE_COUNT,
+    );
     if (helpers.length === 0) return false;
-    const asked = helpers.map(async (helper) => {
+    const probes = helpers.map(async (helper) => {
       const call = this.#buildMessage(helper);
       const isAnswered = await peers.getPeer(helper).probeVia(target, call);
-      if (!isAnswered) throw new Error("No answer through this VM");
+      if (!isAnswered) throw new Error("indirect probe was not answered");
       return true;
     });
-    const anyAnswer = Promise.any(asked).catch(() => false);
+    const anyAnswer = Promise.any(probes).catch(() => false);
     return await withTimeout(anyAnswer, INDIRECT_TIMEOUT_MS, clock) ?? false;
   }
 
-  /** The versions being fetched; undefined for another VM's answer. */
+  /**
+   * Resolves when the newer versions have been fetched; undefined if another VM
+   * answered.
+   */
   #handleAnswer(
     target: VmId,
     answer: ProbeAnswer,
-    askedAt: number,
+    sentAt: number,
   ): Promise<void> | undefined {
-    // Another VM may have the address by now; its answer is not the target's.
+    // Another VM may have taken over the address.
     if (answer.from.vm !== target) return undefined;
     this.#handleMessage(answer);
-    const elapsedMs = this.#environment.clock.now() - askedAt;
+    const elapsedMs = this.#environment.clock.now() - sentAt;
     const listAgeMs = answer.listAgeMs === undefined
       ? undefined
       : answer.listAgeMs + elapsedMs;
@@ -182,25 +195,25 @@
   }
 
   #handleMessage(message: ProbeCall): void {
-    this.#membership.noteContact(message);
-    this.#membership.noteNews(message.members);
+    this.#membership.applySelfReport(message);
+    this.#membership.applyUpdates(message.members);
     for (const summary of message.summaries) {
-      const isNews = summary.owner !== this.#environment.vm &&
+      const isNew = summary.owner !== this.#environment.vm &&
         this.summaries.put(summary);
-      if (isNews) this.#membership.gossip.putSummary(summary);
+      if (isNew) this.#membership.gossip.putSummary(summary);
     }
   }
 
   #buildMessage(to: VmId): ProbeCall {
     const memberCount = this.#membership.listEntryVms().length;
     const { members, summaries } = this.#membership.gossip.take(memberCount);
-    // Whom this VM doubts must hear of it to be able to refute it.
-    const doubt = this.#membership.findSuspicion(to);
-    const others = members.filter((news) => news.vm !== to);
+    // A suspect must receive the suspicion to be able to refute it.
+    const suspicion = this.#membership.findSuspicion(to);
+    const others = members.filter((update) => update.vm !== to);
     return {
       ...this.#membership.getSelfReport(),
       ...this.#versions.getVersions(),
-      members: doubt === undefined ? members : [doubt, ...others],
+      members: suspicion === undefined ? members : [suspicion, ...others],
       summaries,
     };
   }
@@ -209,7 +222,7 @@
     if (this.#membership.isRecovering()) return;
     const memberCount = this.#membership.listEntryVms().length;
     const periods = Math.max(
-      LEAST_SUSPICION_PERIODS,
+      MIN_SUSPICION_PERIODS,
       Math.log2(memberCount + 1),
     );
     const dead = this.#membership.applySuspicionTimeout(
@@ -220,7 +233,7 @@
     }
   }
 
-  /** VMs to probe in turn: all others that do not count as dead. */
+  /** VMs to probe in turn: all others that are not considered dead. */
   #listMembers(): VmId[] {
     return this.#listOthers().filter((vm) => this.#membership.isReachable(vm));
   }
@@ -231,8 +244,8 @@
   }
 
   /**
-   * After a partition both sides hold each other for dead. Without a probe
-   * now and then neither would ever find out that the link is mended.
+   * After a partition both sides consider each other dead. Without an
+   * occasional probe neither would notice that the partition has healed.
    */
   #probeDead(): void {
     const dead = this.#listOthers().filter((vm) =>
@@ -243,21 +256,22 @@
   }
 
   /**
-   * A suspect that is well hears of it only by a message that is not lost.
-   * Whoever suspects goes on trying, or lost messages would make dead VMs.
+   * A healthy suspect learns of the suspicion only from a message that arrives.
+   * The VM that suspects it keeps probing it, so that lost messages alone do
+   * not make a VM count as dead.
    */
   #probeSuspects(): void {
     for (const vm of this.#ownSuspects) {
-      const doubt = this.#membership.findSuspicion(vm);
-      if (doubt?.state === "suspect") void this.#probeDirect(vm);
+      const suspicion = this.#membership.findSuspicion(vm);
+      if (suspicion?.state === "suspect") void this.#probeDirect(vm);
       else this.#ownSuspects.delete(vm);
     }
   }
 
-  #sendUrgentNews(): void {
+  #sendUrgentUpdates(): void {
     const now = this.#environment.clock.now();
-    if (now - this.#urgentAt < URGENT_EVERY_MS) return;
-    this.#urgentAt = now;
+    if (now - this.#lastUrgentAt < URGENT_INTERVAL_MS) return;
+    this.#lastUrgentAt = now;
     this.#probeSome(FAN_OUT);
   }
 
@@ -270,7 +284,7 @@
     }
   }
 
-  /** After a pause: hear of the fleet before acting as an owner again. */
+  /** Updates the view after a pause, before this VM acts as an owner again. */
   async #updateView(): Promise<void> {
     const pauseCount = this.#pauseCount;
     for (let round = 0; round < REFRESH_ROUNDS; round += 1) {
@@ -288,13 +302,16 @@
     this.#membership.noteViewRefreshed();
   }
 
-  /** A probe that waits until what `target` has newer was fetched as well. */
+  /**
+   * Probes `target` and waits until its newer versions have been fetched as
+   * well.
+   */
   async #probeAndFetch(target: VmId): Promise<boolean> {
     const { clock, peers } = this.#environment;
-    const askedAt = clock.now();
+    const sentAt = clock.now();
     const probe = peers.getPeer(target).probe(this.#buildMessage(target));
     const isFetched = probe.then(async (answer) => {
-      const fetched = this.#handleAnswer(target, answer, askedAt);
+      const fetched = this.#handleAnswer(target, answer, sentAt);
       if (fetched === undefined) return false;
       await fetched;
       return true;
--- a/src/process/refusing_vm.ts
+++ b/src/process/refusing_vm.ts
@@ -1,9 +1,9 @@
 /**
- * A VM whose settings cannot be used: it serves nothing and says so.
+ * Stands in for a VM whose settings are invalid and refuses all requests.
  *
- * Without it the process would end and be started again for good, and callers
- * that hold its address would see connections break, which tells them nothing
- * of whether their request ran.
+ * Otherwise the process would restart in an endless loop, and callers that use
+ * its address would see broken connections, which do not tell them whether
+ * their request was executed.
  *
  * @module
  */
@@ -17,10 +17,13 @@
 import { readListeners } from "./routed_settings.ts";
 
 const SERVICE_UNAVAILABLE = 503;
-/** An operator has to mend the settings; another VM can serve at once. */
+/**
+ * Short, since another VM can serve at once; this one has to wait for an
+ * operator.
+ */
 const RETRY_AFTER_SECONDS = 1;
 
-/** Answers 503 to everything that was not read further. */
+/** Answers every request with 503 without reading further. */
 export class RefusingVm {
   readonly #listeners: AnsweringListener[] = [];
   readonly #log: Log;
@@ -34,8 +37,8 @@
   }
 
   /**
-   * Listens where the settings at `path` say, as far as they can be read.
-   * Resolves with the number of places; none leaves nothing to answer at.
+   * Listens on the endpoints in the settings at `path`, as far as they can be
+   * read. Resolves to the number of listeners, which may be 0.
    */
   async start(path: string): Promise<number> {
     for (const endpoint of this.#findEndpoints(path)) {
@@ -55,7 +58,8 @@
       log: this.#log,
       buildAnswer: () => ({
         ...buildJsonAnswer(SERVICE_UNAVAILABLE, {
-          error: "The settings of this VM cannot be used; nothing was run",
+          error:
+            "This VM cannot serve: its settings are invalid; nothing was run",
         }),
         headers: { "retry-after": String(RETRY_AFTER_SECONDS) },
       }),
--- a/src/process/rendezvous.ts
+++ b/src/process/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous hashing: every VM orders the same names in the same way, and a
- * name that comes or goes moves only its own keys.
+ * Rendezvous hashing: every VM computes the same order, and an id that is added
+ * or removed moves only its own keys.
  *
  * @module
  */
@@ -35,7 +35,7 @@
   return best?.id;
 }
 
-/** How many of `others` come before `id` in the order for `key`. */
+/** Number of `others` that come before `id` in the order for `key`. */
 export function computeRendezvousRank<T extends string>(
   key: string,
   id: T,
@@ -72,7 +72,7 @@
   return computeMix(hash);
 }
 
-/** The finalizer of MurmurHash3: each input bit reaches each output bit. */
+/** Finalizer of MurmurHash3: each input bit affects each output bit. */
 function computeMix(value: number): number {
   let mixed = value;
   mixed = Math.imul(mixed ^ (mixed >>> 16), 0x85ebca6b);
--- a/src/process/routed_caller_limits.ts
+++ b/src/process/routed_caller_limits.ts
@@ -1,5 +1,5 @@
 /**
- * What callers of a routed VM may send, by the configuration in force.
+ * Limits on callers' requests and connections, from the current configuration.
  *
  * @module
  */
@@ -9,21 +9,21 @@
 } from "../connection/caller_listener.ts";
 import type { CallerBounds } from "../version/routes.ts";
 
-/** Heads up to this size are read; the configuration's bound is below it. */
+/** The HTTP parser's limit on headers; the configured limit is below it. */
 const MAX_HEADER_BYTES = 65_536;
 /**
- * Kept connections stay open a little longer than callers may use them, so
- * that a request does not cross the close.
+ * Idle connections stay open a little longer than callers may use them, so that
+ * no request arrives while the connection is being closed.
  */
 const IDLE_MARGIN_MS = 1_000;
 
-/** Until there is a configuration. */
-export const FIRST_CALLER_LIMITS: CallerLimits = {
+/** Limits until the first configuration. */
+export const INITIAL_CALLER_LIMITS: CallerLimits = {
   ...DEFAULT_CALLER_LIMITS,
   maxHeaderBytes: MAX_HEADER_BYTES,
 };
 
-/** Under a configuration with `bounds`. */
+/** Limits under a configuration with `bounds`. */
 export function buildCallerLimits(bounds: CallerBounds): CallerLimits {
   return {
     ...DEFAULT_CALLER_LIMITS,
--- a/src/process/routed_fleet.ts
+++ b/src/process/routed_fleet.ts
@@ -1,5 +1,6 @@
 /**
- * A routed VM's side of its fleet: heartbeats, configuration, replicas, caches.
+ * Connects a routed VM to its fleet: heartbeats, configuration, replica list
+ * and prefix caches.
  *
  * @module
  */
@@ -14,10 +15,10 @@
 import type { Log } from "./log.ts";
 import { OwnedPlacement } from "./owned_placement.ts";
 import {
+  type PlacementRole,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
-  type PlacementRole,
   type PlacementState,
   PrefixPriming,
   type ReplicaDirectory,
@@ -41,7 +42,7 @@
   StateFollower,
 } from "./seeded_fleet/index.ts";
 
-/** What the fleet's side is made of. */
+/** Options of `RoutedFleet`. */
 export interface RoutedFleetOptions {
   incarnation: Incarnation;
   clock: Clock;
@@ -60,19 +61,19 @@
   fetchCachedParts: (replica: VmId) => Promise<string[]>;
   isServing: () => boolean;
   isDraining: () => boolean;
-  /** Hears of replicas that started again under their ids. */
+  /** Called with replicas that restarted under the same id. */
   onRestarted: (replicas: readonly VmId[]) => void;
   onSnapshot: (snapshot: RoutedSnapshot) => void;
 }
 
-/** Everything between this VM and the others, and the store. */
+/** Everything between this VM, the other VMs and the store. */
 export class RoutedFleet {
   readonly follower: StateFollower;
   readonly #options: RoutedFleetOptions;
   readonly #heartbeats: FleetHeartbeats;
   readonly #peers: HttpUpstreamTransport;
   readonly #priming: PrefixPriming;
-  readonly #owned: OwnedPlacement;
+  readonly #ownedPlacement: OwnedPlacement;
   readonly #suspects: SuspectGossip<FleetPeer>;
   readonly #ended = new AbortController();
 
@@ -91,16 +92,17 @@
       self: `${address}:${peerPort}`,
       getSeeds: () => this.#listSeeds(),
       buildHeartbeat: () => this.#buildHeartbeat(),
-      takeWork: () => this.#owned.takeWork(),
-      listOwners: () => this.#owned.listOwners(),
+      takeWorkUpdates: () => this.#ownedPlacement.takeWorkUpdates(),
+      listOwners: () => this.#ownedPlacement.listOwners(),
       onHeartbeat: (peer) => this.#notePeer(peer),
       onSuspects: (entries, from) =>
         options.quarantine.mergeEntries(from, entries),
       listSuspects: () => this.#suspects.listTopSuspects(),
-      onAsk: (ask) => this.#owned.answerAsk(ask),
-      onAnswer: (answer) => this.#owned.noteAnswer(answer),
+      onPlacementRequest: (request) =>
+        this.#ownedPlacement.answerRequest(request),
+      onPlacementAnswer: (answer) => this.#ownedPlacement.noteAnswer(answer),
     });
-    this.#owned = OwnedPlacement.create({
+    this.#ownedPlacement = OwnedPlacement.create({
       ...options,
       vm,
       peers: this.#heartbeats.peers,
@@ -131,7 +133,7 @@
       },
       onList: (list) => options.placement.slowStart.noteList(list),
       onReplicas: (restarted) => this.#noteReplicas(restarted),
-      onStoreLost: () => this.#heartbeats.announceAtOnce(),
+      onStoreLost: () => this.#heartbeats.announceNow(),
     });
     this.#priming = this.#createPriming(calls);
   }
@@ -156,37 +158,41 @@
     this.#peers.close();
   }
 
-  /** Other VMs that are heard. */
+  /** Other VMs that are live. */
   listLive(): FleetPeer[] {
     return this.#heartbeats.peers.listLive();
   }
 
-  /** As `OwnedPlacement.askOwner`. */
-  askOwner(request: PlacementRequest): Promise<OwnerDecision> {
-    return this.#owned.askOwner(request);
+  /** See `OwnedPlacement.fetchPlacement`. */
+  fetchPlacement(request: PlacementRequest): Promise<OwnerDecision> {
+    return this.#ownedPlacement.fetchPlacement(request);
   }
 
-  /** As `OwnedPlacement.getShare`. */
-  getShare(pool: PoolName): PlacementRole {
-    return this.#owned.getShare(pool);
+  /** See `OwnedPlacement.getRole`. */
+  getRole(pool: PoolName): PlacementRole {
+    return this.#ownedPlacement.getRole(pool);
   }
 
-  /** Tells the others soon that there is news of this VM's work. */
-  announceNews(): void {
-    this.#heartbeats.announceNews();
+  /** Schedules an update of this VM's work for the other VMs. */
+  announceWork(): void {
+    this.#heartbeats.announceWork();
   }
 
-  /** Tells the others of evidence against requests. */
+  /** Sends evidence against requests to other VMs. */
   announceSuspects(entries: readonly SuspectEntry[]): void {
     this.#suspects.announce(entries);
   }
 
-  /** Tells the others at once what callers depend on. */
-  announceAtOnce(): void {
-    this.#heartbeats.announceAtOnce();
+  /**
+   * Sends a heartbeat to all VMs at once, for changes that callers depend on.
+   */
+  announceNow(): void {
+    this.#heartbeats.announceNow();
   }
 
-  /** Seeds are named by where they listen for state, not for heartbeats. */
+  /**
+   * Datagram endpoints of the seeds; the settings list their state endpoints.
+   */
   #listSeeds(): string[] {
     const { seeds, peerPort } = this.#options.getSettings();
     return seeds.map((seed) => `${parseEndpoint(seed).address}:${peerPort}`);
@@ -232,14 +238,14 @@
 
   #notePeer(peer: FleetPeer): void {
     const { vm, work } = peer.heartbeat;
-    if (work === undefined) this.#owned.noteAlive(vm);
-    else this.#owned.noteWork(vm, work);
+    if (work === undefined) this.#ownedPlacement.noteAlive(vm);
+    else this.#ownedPlacement.applyWork(vm, work);
     this.follower.notePeer(peer);
   }
 
   /**
-   * A replica that started again holds nothing, and nothing that was seen of
-   * it before tells of it: prompts would be sent there for parts that it lost.
+   * Drops what is known of restarted replicas. Their caches are empty, so
+   * prompts would be sent there for prefixes that they no longer have.
    */
   #noteReplicas(restarted: readonly VmId[]): void {
     const { placement, replicas, onRestarted } = this.#options;
@@ -260,15 +266,15 @@
         fetchFromPeer: (vm) => calls.fetchPrefixes(vm),
         listReplicas: () => this.#listModelReplicas(),
         fetchFromReplica: fetchCachedParts,
-        isResponsible: () => this.#isFirst("prefixes"),
+        isResponsible: () => this.#isResponsible("prefixes"),
       },
     });
   }
 
-  #isFirst(duty: string): boolean {
+  #isResponsible(task: string): boolean {
     const { vm } = this.#options.getSettings();
     const vms = [vm, ...this.#listVms((heartbeat) => !heartbeat.isDraining)];
-    return pickRendezvousFirst(duty, vms) === vm;
+    return pickRendezvousFirst(task, vms) === vm;
   }
 
   #listVms(isWanted: (heartbeat: FleetPeer["heartbeat"]) => boolean): VmId[] {
--- a/src/process/routed_placement.ts
+++ b/src/process/routed_placement.ts
@@ -1,5 +1,6 @@
 /**
- * What a routed VM knows of replicas' work, joined with its fleet and its log.
+ * Creates the placement state of a routed VM and connects it to the fleet and
+ * the log.
  *
  * @module
  */
@@ -11,7 +12,7 @@
 import type { RoutedFleet } from "./routed_fleet.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
 
-/** What the state is joined with. */
+/** Options of `createRoutedPlacement`. */
 export interface RoutedPlacementOptions {
   clock: Clock;
   log: Log;
@@ -21,16 +22,16 @@
   getFleet: () => RoutedFleet | undefined;
 }
 
-/** Makes the state of one VM. */
+/** Creates the placement state of one VM. */
 export function createRoutedPlacement(
   options: RoutedPlacementOptions,
 ): PlacementState {
   const { clock, log, settings, getSnapshot, getFleet } = options;
-  const getShare = (pool: PoolName): PlacementRole =>
-    getFleet()?.getShare(pool) ?? { role: "equal", others: [] };
+  const getRole = (pool: PoolName): PlacementRole =>
+    getFleet()?.getRole(pool) ?? { role: "equal", others: [] };
   return PlacementState.create({
     clock,
-    onUpdate: () => getFleet()?.announceNews(),
+    onUpdate: () => getFleet()?.announceWork(),
     onEjected: (replica, forMs) => {
       log.warn("replica_ejected", { replica, for_ms: forMs });
     },
@@ -38,7 +39,7 @@
       log.info("replica_back_off", { replica, for_ms: Math.round(forMs) });
     },
     rateLimits: {
-      getRole: getShare,
+      getRole,
       countReachable: () => getFleet()?.listLive().length ?? 0,
       onChange: (replica, requestsPerS) => {
         log.info("replica_rate_limit", {
@@ -51,7 +52,7 @@
       vm: settings.vm,
       excess: settings.warmUpExcess,
       getWarmUp: (pool) => getSnapshot()?.pools.get(pool)?.warmUp,
-      getRole: getShare,
+      getRole,
     },
   });
 }
--- a/src/process/routed_services.ts
+++ b/src/process/routed_services.ts
@@ -1,5 +1,5 @@
 /**
- * What routed requests use of their process.
+ * Services of the process for routed requests.
  *
  * @module
  */
@@ -24,86 +24,89 @@
 import { UnreadableHeaderLog } from "./unreadable_header_log.ts";
 
 /**
- * Part of the fleet's retries that VMs use: their shares are not exact, and a
- * VM that restarts has forgotten what it used.
+ * Share of the fleet's retry budget that VMs use. Their parts of it are not
+ * exact, and a VM that restarts has no record of the retries that it used.
  */
 const BUDGET_SHARE = 0.75;
-/** The reserve is shared among so many VMs at least. */
-const LEAST_VMS = 4;
+/** The reserve is divided among at least this many VMs. */
+const MIN_RESERVE_VMS = 4;
 
-/** Turns of the event loop after which all sockets were read once. */
-const POLL_TURNS = 2;
+/** Event loop turns after which all sockets have been read once. */
+const EVENT_LOOP_TURNS = 2;
 
-/** The parts of a VM that requests use. */
-export interface RoutedParts extends LocalEnvironment {
-  /** The whole fleet's retries. */
+/** Components of a VM that requests use. */
+export interface RoutedServicesOptions extends LocalEnvironment {
+  /** Retry budget of the whole fleet. */
   settings: { retryShare: number; retryReserve: number };
   quarantine: Quarantine;
   replicas: ReplicaDirectory;
   locality: Locality;
   placement: PlacementState;
-  askOwner: FetchPlacement;
-  fates: RequestStatusStore;
+  fetchPlacement: FetchPlacement;
+  requestStatuses: RequestStatusStore;
   metrics: ProcessMetrics;
   getSnapshot: () => RoutedSnapshot | undefined;
   isDraining: () => boolean;
   listEntries: () => string[];
-  /** VMs that are heard, this one included. */
-  countVms: () => number;
+  /** Number of live VMs, including this one. */
+  countLiveVms: () => number;
 }
 
-/** Joins the parts. */
-export function buildRoutedServices(parts: RoutedParts): RequestServices {
-  const { clock, random, settings, placement, fates } = parts;
+/** Builds the services from the components. */
+export function buildRoutedServices(
+  options: RoutedServicesOptions,
+): RequestServices {
+  const { clock, random, settings, placement, requestStatuses } = options;
   return {
-    environment: parts,
-    getSnapshot: parts.getSnapshot,
+    environment: options,
+    getSnapshot: options.getSnapshot,
     leases: PlacementSource.create({
       clock,
       random,
-      directory: parts.replicas,
-      locality: parts.locality,
-      dataCentre: parts.dataCentre,
+      directory: options.replicas,
+      locality: options.locality,
+      dataCentre: options.dataCentre,
       state: placement,
-      fetchPlacement: parts.askOwner,
-      waitForSocketReads: readArrived,
+      fetchPlacement: options.fetchPlacement,
+      waitForSocketReads,
     }),
     limits: UnlimitedSource.create(),
     claims: UncheckedExecutionClaims.create(random),
-    requestStatuses: fates,
+    requestStatuses,
     retryBudget: WindowRetryBudget.create({
       clock,
       getShare: () => BUDGET_SHARE * settings.retryShare,
       getReserve: () => {
-        const vms = Math.max(LEAST_VMS, parts.countVms());
+        const vms = Math.max(MIN_RESERVE_VMS, options.countLiveVms());
         return BUDGET_SHARE * settings.retryReserve / vms;
       },
     }),
-    quarantine: parts.quarantine,
-    unreadableHeaders: UnreadableHeaderLog.create(parts.log),
-    metrics: parts.metrics,
+    quarantine: options.quarantine,
+    unreadableHeaders: UnreadableHeaderLog.create(options.log),
+    metrics: options.metrics,
     answers: AnswerStore.create({ maxBytes: 0 }),
-    isDraining: parts.isDraining,
+    isDraining: options.isDraining,
     buildRefusalOptions: buildRoutedRefusal,
-    entries: parts.listEntries,
+    entries: options.listEntries,
     findStatus: (requestId) => {
-      const fate = fates.find(requestId);
-      return Promise.resolve({ fate, answer: undefined });
+      const status = requestStatuses.find(requestId);
+      return Promise.resolve({ fate: status, answer: undefined });
     },
   };
 }
 
 /**
- * Lets the event loop read once what has arrived on its sockets, and handle it.
+ * Waits until the event loop has read and handled the data that already arrived
+ * on its sockets.
  *
- * Timers come before the sockets: a VM that was held up for seconds runs all
- * that are due first, and a request whose owner did not answer went out to a
- * replica though its caller had closed the connection long ago. The first turn
- * may end the poll phase in which the request itself was read; the second comes
- * after a whole one.
+ * Timers run before sockets are read. A VM that was stalled for seconds first
+ * runs all timers that are due, so a request whose owner did not answer would
+ * be sent to a replica although its caller had closed the connection long
+ * before. The first turn may end the poll phase in which the request itself was
+ * read; the second one follows a complete poll phase.
  */
-async function readArrived(): Promise<void> {
-  for (let turn = 0; turn < POLL_TURNS; turn++) {
+async function waitForSocketReads(): Promise<void> {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn++) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
--- a/src/process/routed_settings.ts
+++ b/src/process/routed_settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of a VM with routes: one JSON file, checked as a whole.
+ * Settings of a routed VM: one JSON file, validated as a whole.
  *
  * @module
  */
@@ -19,10 +19,10 @@
 const SCHEMA = z.strictObject({
   vm: NAME,
   data_centre: NAME,
-  /** The region of each data centre. */
+  /** Region of each data centre. */
   regions: z.record(NAME, NAME).default({}),
   address: z.ipv4(),
-  /** Ports free for what VMs send each other, the first and the last. */
+  /** First and last port available for datagrams between VMs. */
   peer_ports: z.tuple([z.int(), z.int()]),
   seeds: z.array(ENDPOINT),
   listeners: z.strictObject({
@@ -33,7 +33,7 @@
   }),
   metrics_port: z.int().optional(),
   store: ENDPOINT,
-  /** Cores, and the share of each that is this VM's. */
+  /** Number of cores, and the share of each that this VM may use. */
   cores: z.number().positive(),
   core_share: z.number().positive().max(1),
   log_level: z.enum(["debug", "info", "warn", "error"]).default("info"),
@@ -41,21 +41,26 @@
   directory_ttl_ms: DURATION,
   retry_share: z.number().min(0).max(1),
   retry_reserve: z.number().min(0),
-  /** Without these two a replica gets no more than it bears. */
+  /**
+   * Extra load for a replica that is warming up; by default it gets no more
+   * than it can sustain.
+   */
   warm_up_ratio: z.number().min(1).default(1),
   warm_up_slack: z.number().min(0).default(0),
 });
 
-/** What broken settings may still hold. */
-const LISTENERS = z.object({ listeners: z.record(z.string(), z.unknown()) });
+/** The part of invalid settings that can still be used. */
+const LISTENERS_SCHEMA = z.object({
+  listeners: z.record(z.string(), z.unknown()),
+});
 
-/** Settings as the code uses them; times in milliseconds. */
+/** Parsed settings; times in milliseconds. */
 export interface RoutedSettings {
   vm: VmId;
   dataCentre: DataCentre;
   regions: ReadonlyMap<DataCentre, Region>;
   address: string;
-  /** Takes datagrams of other VMs; the same on every VM. */
+  /** Port for datagrams from other VMs; the same on every VM. */
   peerPort: number;
   seeds: string[];
   listeners: {
@@ -73,28 +78,33 @@
   directoryTtlMs: number;
   /** Retries of the whole fleet as a share of requests. */
   retryShare: number;
-  /** Retries of the whole fleet, in a window, beyond that share. */
+  /** Retries of the whole fleet per window in addition to that share. */
   retryReserve: number;
-  /** What a replica that warms up may be sent beyond what it bears. */
+  /**
+   * Load allowed for a replica that is warming up beyond what it can sustain.
+   */
   warmUpExcess: WarmUpExcess;
 }
 
-/** Reads and checks the file; throws `StepError` naming each wrong field. */
+/**
+ * Reads and validates the file; throws a `StepError` that names each invalid
+ * field.
+ */
 export function readRoutedSettings(path: string): RoutedSettings {
   return parseRoutedSettings(readJson(path), path);
 }
 
 /**
- * Where settings that are not valid as a whole still say to listen; throws
- * where not even that can be read.
+ * Listener endpoints in settings that are invalid as a whole; throws if not
+ * even the listeners can be read.
  */
 export function readListeners(path: string): Endpoint[] {
-  const { listeners } = LISTENERS.parse(readJson(path));
+  const { listeners } = LISTENERS_SCHEMA.parse(readJson(path));
   return Object.values(listeners).map((each) => ENDPOINT.safeParse(each))
     .flatMap((each) => each.success ? [each.data] : []);
 }
 
-/** Checks settings that were read from `path`; throws `StepError`. */
+/** Validates settings read from `path`; throws `StepError`. */
 function parseRoutedSettings(
   value: unknown,
   path: string,
--- a/src/process/routed_status.ts
+++ b/src/process/routed_status.ts
@@ -1,5 +1,5 @@
 /**
- * What a routed VM tells engineers of itself: its status and gauges.
+ * Status page and gauges of a routed VM.
  *
  * @module
  */
@@ -11,8 +11,8 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** What there is to tell. */
-export interface StatusParts {
+/** Sources of the status page and the gauges. */
+export interface StatusSources {
   vm: string;
   incarnation: string;
   replicas: ReplicaDirectory;
@@ -22,118 +22,124 @@
   isServing: () => boolean;
   isDraining: () => boolean;
   getInFlight: () => number;
-  /** -1 where the list was never known to be the newest. */
+  /** -1 if the list was never known to be the newest. */
   getListAgeMs: () => number;
   isWatching: () => boolean;
   listLive: () => FleetPeer[];
 }
 
-/** The fleet and the replicas as one VM sees them, as plain data. */
-export function buildStatus(parts: StatusParts): object {
+/** Builds the status page: the fleet and the replicas as this VM sees them. */
+export function buildStatus(sources: StatusSources): object {
   return {
-    vm: parts.vm,
-    incarnation: parts.incarnation,
-    serving: parts.isServing(),
-    draining: parts.isDraining(),
-    in_flight: parts.getInFlight(),
-    configuration_version: getVersion(parts),
-    list_revision: parts.replicas.revision,
-    list_age_ms: parts.getListAgeMs(),
-    watches_store: parts.isWatching(),
-    peers: parts.listLive().map(({ heartbeat }) => ({
+    vm: sources.vm,
+    incarnation: sources.incarnation,
+    serving: sources.isServing(),
+    draining: sources.isDraining(),
+    in_flight: sources.getInFlight(),
+    configuration_version: getVersion(sources),
+    list_revision: sources.replicas.revision,
+    list_age_ms: sources.getListAgeMs(),
+    watches_store: sources.isWatching(),
+    peers: sources.listLive().map(({ heartbeat }) => ({
       vm: heartbeat.vm,
       incarnation: heartbeat.incarnation,
       serving: heartbeat.isServing,
       configuration_version: heartbeat.configVersion,
       list_revision: heartbeat.listRevision,
     })),
-    quarantined: parts.quarantine.listQuarantined().map((request) => ({
+    quarantined: sources.quarantine.listQuarantined().map((request) => ({
       fingerprint: request.fingerprint,
       crashes: request.crashes,
       left_ms: Math.round(request.leftMs),
     })),
-    evacuated: parts.replicas.getList().evacuated ?? [],
-    replicas: parts.replicas.getList().replicas.map((replica) => ({
+    evacuated: sources.replicas.getList().evacuated ?? [],
+    replicas: sources.replicas.getList().replicas.map((replica) => ({
       id: replica.id,
       pool: replica.pool,
       state: replica.state,
-      ejected: parts.placement.health.isEjected(replica.id),
-      warming: parts.placement.slowStart.isWarming(replica),
-      back_off_ms: parts.placement.backOffs.getRemainingMs(replica.id),
-      requests_per_s: parts.placement.rateLimits.getLimit(replica.id),
-      slowness: parts.placement.speeds.getSlowdown(replica.id),
-      ...parts.placement.loads.getLoad(replica.id),
+      ejected: sources.placement.health.isEjected(replica.id),
+      warming: sources.placement.slowStart.isWarming(replica),
+      back_off_ms: sources.placement.backOffs.getRemainingMs(replica.id),
+      requests_per_s: sources.placement.rateLimits.getLimit(replica.id),
+      slowness: sources.placement.speeds.getSlowdown(replica.id),
+      ...sources.placement.loads.getLoad(replica.id),
     })),
   };
 }
 
-/** Adds what changes by itself to the metrics. */
-export function addGauges(metrics: ProcessMetrics, parts: StatusParts): void {
+/** Registers the gauges. */
+export function addGauges(
+  metrics: ProcessMetrics,
+  sources: StatusSources,
+): void {
   metrics.addGauge("requests_in_flight", {
-    help: "Requests that are being answered",
-    read: parts.getInFlight,
+    help: "Requests in flight",
+    read: sources.getInFlight,
   });
   metrics.addGauge("live_peers", {
-    help: "Other VMs that are heard",
-    read: () => parts.listLive().length,
+    help: "Other VMs that are live",
+    read: () => sources.listLive().length,
   });
   metrics.addGauge("configuration_version", {
-    help: "Version in force; 0 before the first",
-    read: () => getVersion(parts),
+    help: "Version of the current configuration; 0 before the first",
+    read: () => getVersion(sources),
   });
   metrics.addGauge("replica_list_age_seconds", {
-    help: "Since the list was known to be the newest; below 0 for never",
-    read: () => parts.getListAgeMs() / MS_PER_SECOND,
+    help:
+      "Time since the list was last known to be the newest; below 0 for never",
+    read: () => sources.getListAgeMs() / MS_PER_SECOND,
   });
   metrics.addGauge("warming_replicas", {
-    help: "Replicas that get few requests while they warm up",
-    read: () => countWarming(parts),
+    help: "Replicas with limited load while they warm up",
+    read: () => countWarming(sources),
   });
   metrics.addGauge("evacuated_data_centres", {
-    help: "Data centres whose replicas get nothing new",
-    read: () => parts.replicas.getList().evacuated?.length ?? 0,
+    help: "Evacuated data centres, whose replicas get no new requests",
+    read: () => sources.replicas.getList().evacuated?.length ?? 0,
   });
   metrics.addGauge("quarantined_requests", {
-    help: "Requests kept from replicas, which crashed under them",
-    read: () => parts.quarantine.listQuarantined().length,
+    help: "Requests in quarantine because replicas crashed under them",
+    read: () => sources.quarantine.listQuarantined().length,
   });
   metrics.addGauge("suspect_requests", {
-    help: "Requests under which a replica crashed, not answered since",
-    read: () => parts.quarantine.countSuspects(),
+    help:
+      "Requests under which a replica crashed and that were not answered since",
+    read: () => sources.quarantine.countSuspects(),
   });
   metrics.addGauge("rate_limited_replicas", {
-    help: "Replicas that name a limit on requests a second",
-    read: () => countRateLimited(parts),
+    help: "Replicas that set a limit on requests a second",
+    read: () => countRateLimited(sources),
   });
   metrics.addGauge("leaving_replicas", {
-    help: "Replicas that leave by their own word and are listed as ready",
-    read: () => parts.replicas.listLeaving().length,
+    help:
+      "Replicas that reported that they are leaving and are still listed as ready",
+    read: () => sources.replicas.listLeaving().length,
   });
   metrics.addGauge("backed_off_replicas", {
-    help: "Replicas that turned requests away and want none for a time",
-    read: () => parts.placement.backOffs.list().length,
+    help: "Replicas that refused a request and asked for a back-off",
+    read: () => sources.placement.backOffs.list().length,
   });
   metrics.addGauge("ejected_replicas", {
-    help: "Replicas that are left out for failures",
-    read: () => countEjected(parts),
+    help: "Replicas that are ejected because of failures",
+    read: () => countEjected(sources),
   });
 }
 
-function getVersion(parts: StatusParts): number {
-  return parts.getSnapshot()?.version ?? 0;
+function getVersion(sources: StatusSources): number {
+  return sources.getSnapshot()?.version ?? 0;
 }
 
-function countEjected({ replicas, placement }: StatusParts): number {
+function countEjected({ replicas, placement }: StatusSources): number {
   return replicas.getList().replicas
     .filter(({ id }) => placement.health.isEjected(id)).length;
 }
 
-function countWarming({ replicas, placement }: StatusParts): number {
+function countWarming({ replicas, placement }: StatusSources): number {
   return replicas.getList().replicas
     .filter((replica) => placement.slowStart.isWarming(replica)).length;
 }
 
-function countRateLimited({ replicas, placement }: StatusParts): number {
+function countRateLimited({ replicas, placement }: StatusSources): number {
   return replicas.getList().replicas
     .filter(({ id }) => placement.rateLimits.getLimit(id) !== undefined).length;
 }
--- a/src/process/routed_vm.ts
+++ b/src/process/routed_vm.ts
@@ -1,5 +1,6 @@
 /**
- * One entry VM of a fleet that knows itself by seeds: every part, joined.
+ * Entry VM of a fleet that is discovered through seeds; assembles all
+ * components.
  *
  * @module
  */
@@ -34,14 +35,14 @@
 import { ProcessMetrics } from "./request_metrics.ts";
 import {
   buildCallerLimits,
-  FIRST_CALLER_LIMITS,
+  INITIAL_CALLER_LIMITS,
 } from "./routed_caller_limits.ts";
 import { runDrain } from "./routed_drain.ts";
 import { RoutedFleet } from "./routed_fleet.ts";
 import { createRoutedPlacement } from "./routed_placement.ts";
 import { buildRoutedServices } from "./routed_services.ts";
 import type { RoutedSettings } from "./routed_settings.ts";
-import { addGauges, buildStatus, type StatusParts } from "./routed_status.ts";
+import { addGauges, buildStatus, type StatusSources } from "./routed_status.ts";
 import {
   type DatagramLink,
   type FleetPeer,
@@ -53,26 +54,26 @@
 const INCARNATION_LENGTH = 12;
 const MS_PER_SECOND = 1_000;
 /**
- * A connection to a replica in the same region takes a few milliseconds; one
- * whose opening was lost is sent again after a second only.
+ * A connection to a replica in the same region takes a few milliseconds. If the
+ * opening packet is lost, it is sent again only after a second.
  */
-const CONNECT_LIMIT_MS = 250;
-/** What one VM keeps of finished requests, in bytes. */
-const FATE_BYTES = 4 * 1024 * 1024;
-/** What a VM is made of. */
+const CONNECT_TIMEOUT_MS = 250;
+/** Memory for the status of finished requests. */
+const REQUEST_STATUS_BYTES = 4 * 1024 * 1024;
+/** Options of `RoutedVm`. */
 export interface RoutedVmOptions {
   settings: RoutedSettings;
   log: Log;
   dialect: HeaderCodec;
   createStore: (transport: HttpUpstreamTransport) => PublishedStore;
-  /** Asks a model replica which parts of prompts it has cached. */
+  /** Fetches from a model replica which parts of prompts it has cached. */
   fetchCachedParts: (
     transport: HttpUpstreamTransport,
     replica: VmId,
   ) => Promise<string[]>;
   clock?: Clock;
   random?: Random;
-  /** Opens the way of datagrams; UDP without it. */
+  /** Opens the datagram link; UDP by default. */
   openLink?: () => Promise<DatagramLink>;
 }
 
@@ -82,7 +83,7 @@
   readonly requestStatuses: RequestStatusStore;
   readonly replicas = ReplicaDirectory.create((replica) => {
     this.#log.info("replica_leaving", { replica });
-    this.#fleet?.announceNews();
+    this.#fleet?.announceWork();
   });
   readonly #options: RoutedVmOptions;
   readonly #clock: Clock;
@@ -99,7 +100,7 @@
   #settings: RoutedSettings;
   #fleet: RoutedFleet | undefined;
   #inFlight = 0;
-  #drain: Promise<void> | undefined;
+  #draining: Promise<void> | undefined;
   #stopped: Promise<void> | undefined;
 
   constructor(options: RoutedVmOptions) {
@@ -113,7 +114,9 @@
       this.#random.nextHex(INCARNATION_LENGTH),
     );
     this.metrics = ProcessMetrics.create(this.#clock);
-    this.requestStatuses = RequestStatusStore.create({ maxBytes: FATE_BYTES });
+    this.requestStatuses = RequestStatusStore.create({
+      maxBytes: REQUEST_STATUS_BYTES,
+    });
     this.#upstreams = this.#createTransport((vm) => this.replicas.find(vm), {
       allowsUndelimited: true,
     });
@@ -135,25 +138,25 @@
     this.#callers = CallerListener.create({
       clock: this.#clock,
       log: this.#log,
-      limits: FIRST_CALLER_LIMITS,
+      limits: INITIAL_CALLER_LIMITS,
       handler: this,
     });
-    const status = this.#buildStatusParts();
+    const statusSources = this.#buildStatusSources();
     this.#state = createStateListener(this.#log, {
-      buildHandedState: (known) =>
-        this.#fleet?.follower.buildHandedState(known) ?? {},
+      buildNewerState: (known) =>
+        this.#fleet?.follower.buildNewerState(known) ?? {},
       listPrefixes: () => this.#placement.prefixes.listAll(),
-      buildStatus: () => buildStatus(status),
-      findFate: (requestId) => this.requestStatuses.find(requestId),
+      buildStatus: () => buildStatus(statusSources),
+      findRequestStatus: (requestId) => this.requestStatuses.find(requestId),
     });
-    addGauges(this.metrics, status);
+    addGauges(this.metrics, statusSources);
   }
 
   static create(options: RoutedVmOptions): RoutedVm {
     return new RoutedVm(options);
   }
 
-  /** Opens the listeners and starts every task. Rejects `StepError`. */
+  /** Opens the listeners and starts all tasks. Rejects with `StepError`. */
   async start(): Promise<void> {
     const { listeners, vm, dataCentre } = this.#settings;
     this.#fleet = this.#createFleet(await this.#openLink());
@@ -168,38 +171,38 @@
     });
   }
 
-  /** Ends at once; requests in flight are cut. */
+  /** Stops at once; requests in flight are aborted. */
   stop(): Promise<void> {
     this.#stopped ??= this.#runStop();
     return this.#stopped;
   }
 
-  /** Takes new settings in; only seeds can change in a running process. */
+  /** Applies new settings; only seeds can change while the process runs. */
   updateSettings(settings: RoutedSettings): void {
     this.#settings = { ...this.#settings, seeds: settings.seeds };
     this.#log.info("settings_reloaded", { seeds: settings.seeds.join(",") });
   }
 
-  /** The configuration in force; undefined before the first. */
+  /** The current configuration; undefined before the first one. */
   getSnapshot(): RoutedSnapshot | undefined {
     return this.#fleet?.follower.getSnapshot();
   }
 
-  /** Whether callers may be sent here. */
+  /** Whether callers may be sent to this VM. */
   isServing(): boolean {
     return !this.isDraining() && this.getSnapshot() !== undefined &&
       this.replicas.revision > 0;
   }
 
-  /** Whether the VM takes its leave. */
+  /** Whether the VM is draining. */
   isDraining(): boolean {
-    return this.#drain !== undefined;
+    return this.#draining !== undefined;
   }
 
   /**
-   * Where callers may connect now, this VM included if it serves. An answer to
-   * a caller has room for some of them only: in a fixed order the last ones
-   * would get no callers at all.
+   * Addresses to which callers may connect now, including this VM's own if it
+   * serves. The order is random: an answer to a caller has space for some of
+   * them only, and in a fixed order the last ones would get no callers.
    */
   listEntries(region?: Region): string[] {
     const { dataCentre, listeners } = this.#settings;
@@ -226,21 +229,21 @@
   }
 
   /**
-   * Ends without cutting a request off: callers are sent elsewhere at once,
-   * those that still hold this address are served, and then what is in flight
-   * is finished, as far as the platform's time for it allows.
+   * Shuts down without aborting requests: sends new callers to other VMs at
+   * once, serves those that still use this address, and then finishes the
+   * requests in flight, as far as the platform's grace period allows.
    */
   drain(): Promise<void> {
-    this.#drain ??= runDrain({
+    this.#draining ??= runDrain({
       clock: this.#clock,
       log: this.#log,
       settings: this.#settings,
       getInFlight: () => this.#inFlight,
-      announceAtOnce: () => this.#fleet?.announceAtOnce(),
+      announceNow: () => this.#fleet?.announceNow(),
       closeCallers: () => this.#callers.stop(),
       stop: () => this.stop(),
     });
-    return this.#drain;
+    return this.#draining;
   }
 
   async #runStop(): Promise<void> {
@@ -266,14 +269,14 @@
         replicas: this.replicas,
         locality: this.#locality,
         placement: this.#placement,
-        askOwner: (request) =>
-          this.#fleet?.askOwner(request) ?? Promise.resolve(undefined),
-        fates: this.requestStatuses,
+        fetchPlacement: (request) =>
+          this.#fleet?.fetchPlacement(request) ?? Promise.resolve(undefined),
+        requestStatuses: this.requestStatuses,
         metrics: this.metrics,
         getSnapshot: () => this.getSnapshot(),
         isDraining: () => this.isDraining(),
         listEntries: () => this.listEntries(),
-        countVms: () => 1 + this.#listLive().length,
+        countLiveVms: () => 1 + this.#listLive().length,
       }),
       getSnapshot: () => this.getSnapshot(),
       headerCodec: this.#options.dialect,
@@ -313,7 +316,7 @@
     });
   }
 
-  /** Connections that were kept to processes that are gone. */
+  /** Drops idle connections to processes that no longer exist. */
   #dropConnections(restarted: readonly VmId[]): void {
     const gone = restarted.map((id) => this.replicas.find(id));
     this.#upstreams.removeEndpoints(({ address, port }) =>
@@ -321,7 +324,7 @@
     );
   }
 
-  #buildStatusParts(): StatusParts {
+  #buildStatusSources(): StatusSources {
     return {
       vm: this.#settings.vm,
       incarnation: this.#incarnation,
@@ -350,7 +353,7 @@
       clock: this.#clock,
       log: this.#log,
       findAddress,
-      connectLimitMs: CONNECT_LIMIT_MS,
+      connectLimitMs: CONNECT_TIMEOUT_MS,
       ...options,
     });
   }
--- a/src/process/seeded_fleet/datagram_link.ts
+++ b/src/process/seeded_fleet/datagram_link.ts
@@ -1,5 +1,5 @@
 /**
- * The way of datagrams between entry VMs.
+ * Datagram transport between entry VMs.
  *
  * @module
  */
@@ -12,13 +12,13 @@
 import { StepError } from "../../errors.ts";
 import type { Log } from "../log.ts";
 
-/** Takes a datagram and where it came from. */
-export type HandleDatagram = (bytes: Uint8Array, from: Endpoint) => void;
+/** Receives a datagram and the sender's endpoint. */
+export type DatagramHandler = (bytes: Uint8Array, from: Endpoint) => void;
 
-/** Sends and receives datagrams; none is promised to arrive. */
+/** Sends and receives datagrams; delivery is not guaranteed. */
 export abstract class DatagramLink {
   abstract send(to: Endpoint, bytes: Uint8Array): void;
-  abstract onDatagram(handle: HandleDatagram): void;
+  abstract onDatagram(handle: DatagramHandler): void;
   abstract close(): void;
 }
 
@@ -33,7 +33,7 @@
     this.#log = log;
   }
 
-  /** Resolves once datagrams are received; rejects `StepError`. */
+  /** Resolves once the socket is bound; rejects with `StepError`. */
   static open(address: string, port: number, log: Log): Promise<UdpLink> {
     const socket = createSocket("udp4");
     return new Promise((resolve, reject) => {
@@ -43,7 +43,9 @@
           peer: formatEndpoint({ address, port }),
           cause,
         };
-        reject(new StepError(place, "Cannot take datagrams"));
+        reject(
+          new StepError(place, "Cannot bind the UDP socket for datagrams"),
+        );
       });
       socket.bind({ address, port }, () => {
         socket.removeAllListeners("error");
@@ -61,7 +63,7 @@
     });
   }
 
-  onDatagram(handle: HandleDatagram): void {
+  onDatagram(handle: DatagramHandler): void {
     this.#socket.on("message", (bytes, from) => {
       handle(bytes, formatEndpoint(from));
     });
--- a/src/process/seeded_fleet/evacuation_changes.ts
+++ b/src/process/seeded_fleet/evacuation_changes.ts
@@ -1,5 +1,6 @@
 /**
- * What differs between two lists in evacuated data centres, and the log of it.
+ * Compares the evacuated data centres of two replica lists and logs the
+ * changes.
  *
  * @module
  */
@@ -7,13 +8,16 @@
 import type { Log } from "../log.ts";
 import type { ReplicaList } from "../placement/replica_list.ts";
 
-/** A data centre whose replicas get nothing new from now on, or do again. */
+/**
+ * Start or end of an evacuation: replicas of an evacuated data centre get no
+ * new requests.
+ */
 export interface EvacuationChange {
   dataCentre: DataCentre;
   isEvacuated: boolean;
 }
 
-/** Evacuations that begin or end with `after`. */
+/** Evacuations that start or end with `after`. */
 export function listEvacuations(
   before: ReplicaList,
   after: ReplicaList,
@@ -27,7 +31,7 @@
   return [...begun, ...ended];
 }
 
-/** Writes a line for each; `from` names who told of the list. */
+/** Logs one line per change; `from` is the source of the list. */
 export function writeEvacuations(
   log: Log,
   changes: readonly EvacuationChange[],
--- a/src/process/seeded_fleet/fleet_heartbeats.ts
+++ b/src/process/seeded_fleet/fleet_heartbeats.ts
@@ -1,9 +1,10 @@
 /**
- * Heartbeats between entry VMs that know of each other by seeds alone.
+ * Heartbeats between entry VMs that discover each other through seeds.
  *
- * Seeds may be stale or down, so whoever hears of a new VM tells it whom it
- * hears itself, and silent VMs and seeds are tried again now and then: after a
- * partition both sides would else take each other for gone for good.
+ * Seeds may be stale or down, so a VM sends its list of live peers to each VM
+ * that it newly discovers. Silent VMs and seeds are retried from time to time:
+ * without that, both sides of a partition would consider each other gone for
+ * good.
  *
  * @module
  */
@@ -11,7 +12,10 @@
 import type { VmId } from "../../ids.ts";
 import { EarliestTimer } from "../earliest_timer.ts";
 import type { SuspectEntry } from "../quarantine/index.ts";
-import { HEARTBEAT_EVERY_MS, HeartbeatInterval } from "./heartbeat_interval.ts";
+import {
+  HEARTBEAT_INTERVAL_MS,
+  HeartbeatInterval,
+} from "./heartbeat_interval.ts";
 import type { FleetHeartbeatsOptions } from "./heartbeat_options.ts";
 import {
   encodeMessage,
@@ -24,28 +28,28 @@
 import { buildSuspectMessages } from "./suspect_messages.ts";
 
 /**
- * News waits so long for more news, in milliseconds, where each VM decides by
- * itself. In a large fleet the owner counts a request as it places it; how far
- * it has come can wait for the next heartbeat.
+ * Work updates are batched for this time where each VM places requests itself.
+ * In a large fleet the owner counts a request when it places it, so later
+ * progress can wait for the next heartbeat.
  */
-const NEWS_WAIT_MS = 25;
+const UPDATE_DELAY_MS = 25;
 /**
- * Where all are told of each other's work the wait grows with their number: a
- * VM sends at most 330 such datagrams a second.
+ * Where work updates go to all VMs, the delay grows with the number of peers,
+ * so that a VM sends at most 330 of these datagrams a second.
  */
-const NEWS_WAIT_PER_PEER_MS = 3;
-/** What is new in a row is told at once, in milliseconds. */
-const STATE_WAIT_MS = 50;
-/** A timer that fires so late, in ms, shows that this VM was held up. */
-const HELD_UP_MS = 300;
+const UPDATE_DELAY_PER_PEER_MS = 3;
+/** Delay within which several state changes in a row are sent together. */
+const STATE_DELAY_MS = 50;
+/** A timer that fires this late shows that this VM was stalled. */
+const STALL_THRESHOLD_MS = 300;
 /**
- * Those that place requests are told again, in milliseconds, what they were
- * told before: a datagram may have been lost. Between these times, and where
- * there is no news, a short message says that this VM lives.
+ * Pool owners get a full heartbeat at this interval even if nothing changed,
+ * because an earlier datagram may have been lost. In between, a short `alive`
+ * message is sent when there is nothing new.
  */
-const WHOLE_HEARTBEAT_EVERY_MS = 1_000;
+const FULL_HEARTBEAT_INTERVAL_MS = 1_000;
 
-/** Sends and takes in heartbeats. */
+/** Sends and receives heartbeats. */
 export class FleetHeartbeats {
   readonly peers: FleetPeers;
   readonly #options: FleetHeartbeatsOptions;
@@ -54,18 +58,22 @@
   readonly #timer: EarliestTimer;
   #sequence = 0;
   #peerCount = 0;
-  #toOwners = new Set<Endpoint>();
-  /** When all of those that place requests were told all, and what. */
-  #lastWhole = { text: "", at: -Infinity };
-  /** When each that is heard has had its heartbeat of this round. */
+  /** Endpoints of the owners, as of the last heartbeat. */
+  #ownerEndpoints = new Set<Endpoint>();
+  /**
+   * Content of the last full heartbeat to all pool owners, and when it was
+   * sent.
+   */
+  #lastFullHeartbeat = { text: "", at: -Infinity };
+  /** End of the current round, in which each live peer gets one heartbeat. */
   #roundEndsAt = 0;
-  /** Whether some VMs alone place requests, as the last heartbeat went. */
-  #isOwned = false;
-  #hasStateNews = false;
-  /** Time between heartbeats to all. */
+  /** Whether some VMs are pool owners, as of the last heartbeat. */
+  #hasOwners = false;
+  #hasStateUpdate = false;
+  /** Interval of heartbeats to all peers. */
   readonly #interval = HeartbeatInterval.create();
-  /** When the next one goes to all at once. */
-  #allDueAt = 0;
+  /** When the next heartbeat is due for all peers at once. */
+  #broadcastDueAt = 0;
   #lastHeartbeatAt = -Infinity;
 
   constructor(options: FleetHeartbeatsOptions) {
@@ -76,7 +84,7 @@
       ...options,
       peers: this.peers,
       targets: this.#targets,
-      sendPlain: (to) => this.#sendPlain(to),
+      sendWithoutWork: (to) => this.#sendWithoutWork(to),
     });
     this.#timer = EarliestTimer.create(
       options.clock,
@@ -97,33 +105,41 @@
     this.#timer.stop();
   }
 
-  /** Tells those that place requests soon of news of this VM's work. */
-  announceNews(): void {
-    if (this.#isOwned) return;
-    const perPeerMs = NEWS_WAIT_PER_PEER_MS * this.#peerCount;
+  /**
+   * Schedules an update of this VM's work, where each VM places requests
+   * itself.
+   */
+  announceWork(): void {
+    if (this.#hasOwners) return;
+    const perPeerMs = UPDATE_DELAY_PER_PEER_MS * this.#peerCount;
     this.#timer.setBy(
-      this.#lastHeartbeatAt + Math.max(NEWS_WAIT_MS, perPeerMs),
+      this.#lastHeartbeatAt + Math.max(UPDATE_DELAY_MS, perPeerMs),
     );
   }
 
-  /** Tells all, or some in a large fleet, that a version or list is newer. */
+  /**
+   * Announces a newer configuration or replica list: to all peers, or to some
+   * of them in a large fleet.
+   */
   announceState(): void {
-    if (!this.#isOwned) return this.announceAtOnce();
-    this.#hasStateNews = true;
-    this.#timer.setBy(this.#lastHeartbeatAt + STATE_WAIT_MS);
+    if (!this.#hasOwners) return this.announceNow();
+    this.#hasStateUpdate = true;
+    this.#timer.setBy(this.#lastHeartbeatAt + STATE_DELAY_MS);
   }
 
-  /** Tells all at once what callers depend on. */
-  announceAtOnce(): void {
-    this.#setAllDue(this.#options.clock.now());
+  /**
+   * Sends a heartbeat to all peers at once, for changes that callers depend on.
+   */
+  announceNow(): void {
+    this.#setBroadcastDue(this.#options.clock.now());
   }
 
-  /** Sends one datagram to another VM. */
+  /** Sends one datagram to `to`. */
   send(to: FleetPeer, message: FleetMessage): void {
     this.#options.link.send(to.endpoint, encodeMessage(message));
   }
 
-  /** Tells other VMs of evidence against requests. */
+  /** Sends evidence against requests to other VMs. */
   sendSuspects(
     to: readonly FleetPeer[],
     entries: readonly SuspectEntry[],
@@ -134,9 +150,9 @@
     }
   }
 
-  #setAllDue(at: number): void {
-    this.#allDueAt = Math.min(this.#allDueAt, at);
-    this.#timer.setBy(this.#allDueAt);
+  #setBroadcastDue(at: number): void {
+    this.#broadcastDueAt = Math.min(this.#broadcastDueAt, at);
+    this.#timer.setBy(this.#broadcastDueAt);
   }
 
   #sendHeartbeats(lateMs: number): void {
@@ -144,40 +160,44 @@
     this.#lastHeartbeatAt = now;
     this.#checkSilence(lateMs);
     const owners = this.#options.listOwners();
-    this.#isOwned = owners !== undefined;
+    this.#hasOwners = owners !== undefined;
     const toAll = this.#listTargets(now);
     const toOwners = owners === undefined ? toAll : this.#findEndpoints(owners);
-    // One that is no owner now was told to expect a heartbeat soon.
+    // Former owners expect the next heartbeat within the short interval of
+    // owners.
     const others = new Set(toAll);
-    if (this.#isOwned) this.#toOwners.forEach((to) => others.add(to));
+    if (this.#hasOwners) this.#ownerEndpoints.forEach((to) => others.add(to));
     toOwners.forEach((to) => others.delete(to));
     this.#sendToOwners(toOwners);
-    this.#toOwners = toOwners;
-    this.#sendPlain(others);
+    this.#ownerEndpoints = toOwners;
+    this.#sendWithoutWork(others);
     this.#timer.setBy(
-      this.#isOwned
-        ? Math.min(this.#allDueAt, now + HEARTBEAT_EVERY_MS)
-        : this.#allDueAt,
+      this.#hasOwners
+        ? Math.min(this.#broadcastDueAt, now + HEARTBEAT_INTERVAL_MS)
+        : this.#broadcastDueAt,
     );
   }
 
   /**
-   * A VM that was held up has not read its sockets yet and would take all
-   * others for gone, and callers would be told of no other VM.
+   * Skipped after a stall: a stalled VM has not read its sockets yet, so it
+   * would consider all other VMs silent and name none of them to callers.
    */
   #checkSilence(lateMs: number): void {
-    if (lateMs < HELD_UP_MS) {
-      const missed = this.peers.checkSilence();
-      if (missed.length > 0) this.#announceSilent(missed);
+    if (lateMs < STALL_THRESHOLD_MS) {
+      const silent = this.peers.checkSilence();
+      if (silent.length > 0) this.#announceSilent(silent);
     }
     this.#peerCount = this.peers.listLive().length;
   }
 
-  /** Those that place requests hear each VM often; the others do not. */
-  #announceSilent(missed: [VmId, number][]): void {
+  /**
+   * Only pool owners receive frequent heartbeats from every VM, so they report
+   * silent VMs to the others.
+   */
+  #announceSilent(silent: [VmId, number][]): void {
     const { link, listOwners, vm } = this.#options;
     if (!listOwners()?.has(vm)) return;
-    const bytes = encodeMessage({ kind: "silent", vms: missed });
+    const bytes = encodeMessage({ kind: "silent", vms: silent });
     for (const peer of this.peers.listLive()) link.send(peer.endpoint, bytes);
   }
 
@@ -186,13 +206,13 @@
     return new Set(endpoints.filter((each) => each !== undefined));
   }
 
-  /** Each hears the news of its own pools. */
+  /** Sends each owner the work of its own pools. */
   #sendToOwners(toOwners: ReadonlySet<Endpoint>): void {
-    const nextMs = this.#isOwned ? HEARTBEAT_EVERY_MS : this.#interval.ms;
-    const isWhole = !this.#isOwned || this.#isWholeDue(toOwners);
-    for (const { owners, work, isNew } of this.#options.takeWork()) {
+    const nextMs = this.#hasOwners ? HEARTBEAT_INTERVAL_MS : this.#interval.ms;
+    const isFull = !this.#hasOwners || this.#isFullHeartbeatDue(toOwners);
+    for (const { owners, work, isNew } of this.#options.takeWorkUpdates()) {
       const to = owners === undefined ? toOwners : this.#findEndpoints(owners);
-      if (isWhole || isNew) {
+      if (isFull || isNew) {
         this.#sendAll(to, { ...this.#buildHeartbeat(nextMs), work });
       } else {
         this.#sendAlive(to);
@@ -200,18 +220,21 @@
     }
   }
 
-  #isWholeDue(toOwners: ReadonlySet<Endpoint>): boolean {
+  #isFullHeartbeatDue(toOwners: ReadonlySet<Endpoint>): boolean {
     const now = this.#options.clock.now();
     const text = JSON.stringify({
       ...this.#options.buildHeartbeat(),
       listAgeMs: 0,
     });
-    const isSaid = text === this.#lastWhole.text &&
-      [...toOwners].every((each) => this.#toOwners.has(each));
-    if (isSaid && now - this.#lastWhole.at < WHOLE_HEARTBEAT_EVERY_MS) {
+    const isUnchanged = text === this.#lastFullHeartbeat.text &&
+      [...toOwners].every((each) => this.#ownerEndpoints.has(each));
+    if (
+      isUnchanged &&
+      now - this.#lastFullHeartbeat.at < FULL_HEARTBEAT_INTERVAL_MS
+    ) {
       return false;
     }
-    this.#lastWhole = { text, at: now };
+    this.#lastFullHeartbeat = { text, at: now };
     return true;
   }
 
@@ -228,35 +251,42 @@
     for (const each of to) this.#options.link.send(each, bytes);
   }
 
-  /** Leaves the news to those that are told of work. */
-  #sendPlain(to: ReadonlySet<Endpoint>): void {
+  /**
+   * Sends a heartbeat without work, which only goes to VMs that place requests.
+   */
+  #sendWithoutWork(to: ReadonlySet<Endpoint>): void {
     if (to.size > 0) this.#sendAll(to, this.#buildHeartbeat(this.#interval.ms));
   }
 
-  /** Who gets a heartbeat now, beside those that place requests. */
+  /** Endpoints that get a heartbeat now, besides those of pool owners. */
   #listTargets(now: number): Set<Endpoint> {
-    const retried = this.#targets.listRetried();
-    if (!this.#isOwned) {
+    const retried = this.#targets.listRetryTargets();
+    if (!this.#hasOwners) {
       this.#interval.update(false, this.#peerCount);
-      this.#allDueAt = now + this.#interval.ms;
+      this.#broadcastDueAt = now + this.#interval.ms;
       return new Set([...this.#targets.listLive(), ...retried]);
     }
-    const next = now >= this.#allDueAt
+    const next = now >= this.#broadcastDueAt
       ? this.#targets.listLive()
-      : this.#targets.pickNext(this.#countNext(now));
-    this.#allDueAt = Infinity;
-    const some = this.#hasStateNews ? this.#targets.pickSome() : [];
-    this.#hasStateNews = false;
+      : this.#targets.pickNext(this.#countPerInterval(now));
+    this.#broadcastDueAt = Infinity;
+    const some = this.#hasStateUpdate ? this.#targets.pickSome() : [];
+    this.#hasStateUpdate = false;
     return new Set([...next, ...some, ...retried]);
   }
 
-  /** So many at a time that each is told once in a round. */
-  #countNext(now: number): number {
+  /**
+   * Number of peers per heartbeat interval such that each gets one heartbeat in
+   * a round.
+   */
+  #countPerInterval(now: number): number {
     if (now >= this.#roundEndsAt) {
       this.#interval.update(true, this.#peerCount);
       this.#roundEndsAt = now + this.#interval.ms;
     }
-    return Math.ceil(this.#peerCount * HEARTBEAT_EVERY_MS / this.#interval.ms);
+    return Math.ceil(
+      this.#peerCount * HEARTBEAT_INTERVAL_MS / this.#interval.ms,
+    );
   }
 
   #buildHeartbeat(nextMs: number): FleetHeartbeat {
--- a/src/process/seeded_fleet/fleet_message.ts
+++ b/src/process/seeded_fleet/fleet_message.ts
@@ -1,8 +1,9 @@
 /**
- * What entry VMs tell each other in datagrams.
+ * Datagrams that entry VMs send each other.
  *
- * A datagram may be lost, late or doubled: each one says all that matters of
- * its sender, and what it says of single requests only helps decisions.
+ * A datagram may be lost, delayed or duplicated. Each one therefore holds the
+ * sender's whole state, and what it holds of single requests only improves
+ * decisions.
  *
  * @module
  */
@@ -21,16 +22,16 @@
 const COUNT = z.number();
 const VM = TEXT.transform((text) => text as VmId);
 
-/** What a VM tells of its work; all but the loads is told once. */
+/** Work of a VM. Loads are sent with each report, the other entries once. */
 const WORK = z.object({
   loads: z.array(z.tuple([VM, COUNT, COUNT, COUNT, COUNT])),
   results: z.array(z.tuple([VM, COUNT, COUNT])),
   speeds: z.array(z.tuple([VM, COUNT])),
   placements: z.array(z.tuple([VM, z.array(TEXT), COUNT])),
   reads: z.array(z.tuple([VM, z.array(TEXT)])),
-  /** The number of the sender's last ask. */
+  /** Number of the sender's last placement request. */
   lastAsk: COUNT,
-  /** Asks up to there that it has no answer to. */
+  /** Placement requests up to `lastAsk` that are still unanswered. */
   openAsks: z.array(COUNT),
   limits: z.array(z.tuple([VM, COUNT, COUNT, COUNT])).default([]),
   leaving: z.array(z.tuple([VM, COUNT])).default([]),
@@ -40,66 +41,66 @@
   kind: z.literal("heartbeat"),
   vm: VM,
   incarnation: TEXT.transform((text) => text as Incarnation),
-  /** Counts the messages of one incarnation. */
+  /** Increases with each message of one incarnation. */
   sequence: COUNT,
   dataCentre: TEXT.transform((text) => text as DataCentre),
-  /** Where callers connect. */
+  /** Endpoint for callers. */
   callers: TEXT,
-  /** Where other VMs fetch configuration and replicas. */
+  /** Endpoint from which other VMs fetch configuration and replicas. */
   state: TEXT,
-  /** Whether callers may be sent there. */
+  /** Whether callers may be sent to this VM. */
   isServing: z.boolean(),
   isDraining: z.boolean(),
-  /** Whether it knows what replicas have cached. */
+  /** Whether this VM knows what replicas have cached. */
   isPrimed: z.boolean(),
   configVersion: COUNT,
   listRevision: COUNT,
-  /** Whether the store turns the sender away, or is away. */
+  /** Whether the store refuses the sender or is unavailable. */
   isStoreLost: z.boolean(),
-  /** How long ago the list was known to be the newest; -1 for never. */
+  /** Time since the list was last known to be the newest; -1 for never. */
   listAgeMs: COUNT,
-  /** The receiver hears again within so many milliseconds. */
+  /** Time within which the receiver gets the next message. */
   nextMs: COUNT,
-  /** How many other VMs it hears. */
+  /** Number of other VMs that the sender considers live. */
   heard: COUNT,
-  /** Processor cores that it may use. */
+  /** Processor cores that the VM may use. */
   cores: COUNT,
-  /** Left out for VMs that do not place requests. */
+  /** Undefined for VMs that do not place requests. */
   work: WORK.optional(),
 });
 
 const MEMBERS = z.object({
   kind: z.literal("members"),
-  /** Where the VMs that the sender hears of take datagrams. */
+  /** Datagram endpoints of the VMs that the sender considers live. */
   endpoints: z.array(TEXT),
 });
 
 /**
- * The same sender's last heartbeat still holds: for those that place requests,
- * who hear each VM some seven times a second. Whole heartbeats would be most of
- * what VMs send each other; this is a third of one.
+ * Confirms the sender's last heartbeat. It goes to pool owners, which receive
+ * some seven messages a second from each VM. Full heartbeats would be most of
+ * the traffic between VMs; this message has a third of the size.
  */
 const ALIVE = z.object({
   kind: z.literal("alive"),
   vm: VM,
   incarnation: TEXT.transform((text) => text as Incarnation),
-  /** Counts the messages of one incarnation, as heartbeats do. */
+  /** Increases with each message of one incarnation, heartbeats included. */
   sequence: COUNT,
   listAgeMs: COUNT,
 });
 
-/** For VMs that hear the others seldom. */
+/** Sent by pool owners to VMs that receive heartbeats rarely. */
 const SILENT = z.object({
   kind: z.literal("silent"),
-  /** VMs that the sender misses, and for how many milliseconds. */
+  /** VMs that the sender considers silent, and for how many milliseconds. */
   vms: z.array(z.tuple([VM, COUNT])),
 });
 
 const SUSPECTS = z.object({
   kind: z.literal("suspects"),
   /**
-   * Requests that replicas crashed under: how long ago each did, whether there
-   * was any output before, and how long ago the request was answered whole.
+   * Requests under which replicas crashed: age of each crash, whether there was
+   * any output before, and time since the request was answered completely.
    */
   entries: z.array(z.tuple([
     TEXT.transform((text) => text as RequestFingerprint),
@@ -112,10 +113,10 @@
   ])),
 });
 
-const ASK = z.object({
+const PLACEMENT_REQUEST = z.object({
   kind: z.literal("ask"),
   vm: VM,
-  /** Counts the sender's asks. */
+  /** Number of the placement request, counted by the sender. */
   ask: COUNT,
   dataCentre: TEXT.transform((text) => text as DataCentre),
   pool: TEXT.transform((text) => text as PoolName),
@@ -126,7 +127,7 @@
   isInteractive: z.boolean(),
   targetMs: COUNT.optional(),
   regions: z.array(TEXT.transform((text) => text as Region)).optional(),
-  /** Whether it may be what crashes replicas. */
+  /** Whether the request is suspected of crashing replicas. */
   isSuspect: z.boolean().optional(),
 });
 
@@ -141,12 +142,12 @@
   isDeferred: z.boolean().optional(),
 });
 
-const ANSWER = z.object({
+const PLACEMENT_ANSWER = z.object({
   kind: z.literal("answer"),
   ask: COUNT,
-  /** Left out where the owner knows of none that takes work. */
+  /** Undefined where the owner knows no replica that accepts work. */
   placed: PLACED.optional(),
-  /** Whether there are some, and none has room for the request. */
+  /** Whether there are such replicas and none has capacity for the request. */
   isFull: z.boolean(),
 });
 
@@ -156,13 +157,13 @@
   MEMBERS,
   SILENT,
   SUSPECTS,
-  ASK,
-  ANSWER,
+  PLACEMENT_REQUEST,
+  PLACEMENT_ANSWER,
 ]);
 
 /**
- * The fields of each message in the order in which their values are sent. The
- * names themselves were more than half of a heartbeat's bytes.
+ * Fields of each message in the order in which their values are sent. Field
+ * names are left out because they took more than half of a heartbeat's bytes.
  */
 const FIELDS = {
   heartbeat: listNames(HEARTBEAT),
@@ -170,39 +171,39 @@
   members: listNames(MEMBERS),
   silent: listNames(SILENT),
   suspects: listNames(SUSPECTS),
-  ask: listNames(ASK),
-  answer: listNames(ANSWER),
+  ask: listNames(PLACEMENT_REQUEST),
+  answer: listNames(PLACEMENT_ANSWER),
 };
-/** The same of what stands within a message, by the field that holds it. */
+/** Fields of nested objects, by the field that holds the object. */
 const NESTED_FIELDS = new Map([
   ["work", listNames(WORK)],
   ["placed", listNames(PLACED)],
 ]);
 const RAW_MESSAGE = z.tuple([z.enum(listKinds())]).rest(z.unknown());
 
-/** A VM's state, sent some times a second. */
+/** State of a VM, sent several times a second. */
 export type FleetHeartbeat = z.infer<typeof HEARTBEAT>;
-/** That the sender's last heartbeat still holds. */
+/** Confirmation that the sender's last heartbeat still holds. */
 export type AliveMessage = z.infer<typeof ALIVE>;
-/** Whom the sender hears of, for a VM that it had not heard of. */
+/** Live peers of the sender, for a VM that it has just discovered. */
 export type MembersMessage = z.infer<typeof MEMBERS>;
-/** What a VM tells of its work. */
-export type FleetWork = z.infer<typeof WORK>;
-/** A request that the receiver is to find a replica for. */
-export type AskMessage = z.infer<typeof ASK>;
-/** Where the request of an ask should go. */
-export type AnswerMessage = z.infer<typeof ANSWER>;
+/** Work of a VM. */
+export type WorkReport = z.infer<typeof WORK>;
+/** Request for a replica, sent to a pool owner. */
+export type PlacementRequestMessage = z.infer<typeof PLACEMENT_REQUEST>;
+/** Answer to a placement request. */
+export type PlacementAnswerMessage = z.infer<typeof PLACEMENT_ANSWER>;
 /** Any datagram. */
 export type FleetMessage = z.infer<typeof MESSAGE>;
 
-/** A message as bytes. */
+/** Encodes a message as a JSON list of values. */
 export function encodeMessage(message: FleetMessage): Buffer {
   const { kind, ...content } = message;
   const values = listValues(content, FIELDS[kind]);
   return Buffer.from(JSON.stringify([kind, ...values]));
 }
 
-/** Reads a datagram; an `Error` says what is wrong with it. */
+/** Decodes a datagram; returns an `Error` for an invalid one. */
 export function decodeMessage(bytes: Uint8Array): FleetMessage | Error {
   try {
     const text = Buffer.from(bytes).toString("utf8");
@@ -217,7 +218,7 @@
   return Object.keys(FIELDS) as (keyof typeof FIELDS)[];
 }
 
-/** The names of a message's fields but its kind. */
+/** Field names of a message without `kind`. */
 function listNames(schema: z.ZodObject): string[] {
   return Object.keys(schema.shape).filter((name) => name !== "kind");
 }
@@ -231,7 +232,9 @@
   });
 }
 
-/** Optional fields are sent as nulls, which JSON has for what is missing. */
+/**
+ * Maps nulls back to missing fields, since JSON lists hold null for undefined.
+ */
 function buildFields(
   values: readonly unknown[],
   names: readonly string[],
--- a/src/process/seeded_fleet/fleet_peers.ts
+++ b/src/process/seeded_fleet/fleet_peers.ts
@@ -1,5 +1,5 @@
 /**
- * The other entry VMs, as far as they are heard.
+ * Other entry VMs and whether they are live.
  *
  * @module
  */
@@ -9,24 +9,27 @@
 import type { Log } from "../log.ts";
 import type { AliveMessage, FleetHeartbeat } from "./fleet_message.ts";
 
-/** A VM that was silent for so long is not tried any more. */
-const FORGOTTEN_AFTER_MS = 120_000;
-/** Heartbeats that a live VM may miss before it counts as gone. */
-const MISSED_HEARTBEATS = 6;
-/** The last heartbeat reaches two VMs within so many milliseconds. */
-const ON_THE_WAY_MS = 100;
+/** A VM that was silent for this long is removed and no longer retried. */
+const FORGET_AFTER_MS = 120_000;
+/** Heartbeats that a live VM may miss before it is considered silent. */
+const MAX_MISSED_HEARTBEATS = 6;
+/**
+ * Maximum difference between the times at which two VMs receive a peer's last
+ * heartbeat.
+ */
+const ARRIVAL_SKEW_MS = 100;
 
-/** Another VM. */
+/** Another entry VM. */
 export interface FleetPeer {
   heartbeat: FleetHeartbeat;
-  /** Where it takes datagrams. */
+  /** Where it receives datagrams. */
   endpoint: Endpoint;
-  /** `Clock.now()` when it was heard last. */
-  heardAt: number;
+  /** `Clock.now()` when the last message was received. */
+  lastReceivedAt: number;
   isLive: boolean;
 }
 
-/** Heard VMs by name. */
+/** Peers by VM id. */
 export class FleetPeers {
   readonly #clock: Clock;
   readonly #log: Log;
@@ -43,27 +46,29 @@
   }
 
   /**
-   * Grows with each change of who is heard and of what owners are chosen by.
+   * Increases when a peer becomes live or silent, or when a property changes
+   * that the choice of owners depends on.
    */
   get revision(): number {
     return this.#revision;
   }
 
   /**
-   * Takes in a heartbeat; says whether this life of the VM was unknown or
-   * silent until now.
+   * Records a heartbeat; `isNew` tells whether this incarnation of the VM was
+   * unknown or silent until now.
    */
   noteHeartbeat(
     heartbeat: FleetHeartbeat,
     endpoint: Endpoint,
   ): { isNew: boolean } {
     const known = this.#peers.get(heartbeat.vm);
-    const isSameLife = known?.heartbeat.incarnation === heartbeat.incarnation;
-    // A datagram that comes late must not undo what a newer one said.
-    if (isSameLife && heartbeat.sequence <= known.heartbeat.sequence) {
+    const isSameIncarnation =
+      known?.heartbeat.incarnation === heartbeat.incarnation;
+    // A delayed datagram must not overwrite a newer one.
+    if (isSameIncarnation && heartbeat.sequence <= known.heartbeat.sequence) {
       return { isNew: false };
     }
-    const isNew = !isSameLife || !known.isLive;
+    const isNew = !isSameIncarnation || !known.isLive;
     if (isNew) {
       this.#log.info("peer_heard", {
         peer: heartbeat.vm,
@@ -71,21 +76,21 @@
         serving: heartbeat.isServing,
       });
     }
-    if (isNew || isOtherCandidate(known.heartbeat, heartbeat)) {
+    if (isNew || hasOwnershipChange(known.heartbeat, heartbeat)) {
       this.#revision += 1;
     }
     this.#peers.set(heartbeat.vm, {
       heartbeat,
       endpoint,
-      heardAt: this.#clock.now(),
+      lastReceivedAt: this.#clock.now(),
       isLive: true,
     });
     return { isNew };
   }
 
   /**
-   * Takes in that a VM's last heartbeat still holds; undefined where that one
-   * was not heard, or is missed.
+   * Records that a VM's last heartbeat still holds. Returns undefined if that
+   * heartbeat was not received, or if the VM is silent.
    */
   noteAlive(alive: AliveMessage): FleetPeer | undefined {
     const { vm, incarnation, sequence, listAgeMs } = alive;
@@ -93,54 +98,59 @@
     if (peer === undefined || !peer.isLive) return undefined;
     if (peer.heartbeat.incarnation !== incarnation) return undefined;
     if (sequence <= peer.heartbeat.sequence) return undefined;
-    const { work: _told, ...heartbeat } = peer.heartbeat;
+    const { work: _work, ...heartbeat } = peer.heartbeat;
     peer.heartbeat = { ...heartbeat, sequence, listAgeMs };
-    peer.heardAt = this.#clock.now();
+    peer.lastReceivedAt = this.#clock.now();
     return peer;
   }
 
   /**
-   * Marks VMs as gone that missed several heartbeats, so that some lost
-   * datagrams take nobody out; forgets those that were long silent. Returns
-   * those that are missed from now on, and for how many milliseconds.
+   * Marks VMs as silent that missed several heartbeats, so that a few lost
+   * datagrams remove no VM, and removes VMs that have been silent for long.
+   * Returns the newly silent VMs with the duration of their silence in
+   * milliseconds.
    */
   checkSilence(): [VmId, number][] {
     const now = this.#clock.now();
-    const missed: [VmId, number][] = [];
+    const silent: [VmId, number][] = [];
     for (const [vm, peer] of this.#peers) {
-      const silentMs = now - peer.heardAt;
-      if (peer.isLive && silentMs > MISSED_HEARTBEATS * peer.heartbeat.nextMs) {
+      const silentMs = now - peer.lastReceivedAt;
+      if (
+        peer.isLive && silentMs > MAX_MISSED_HEARTBEATS * peer.heartbeat.nextMs
+      ) {
         this.#setSilent(vm, peer);
-        missed.push([vm, Math.round(silentMs)]);
+        silent.push([vm, Math.round(silentMs)]);
       }
-      if (silentMs > FORGOTTEN_AFTER_MS) this.#peers.delete(vm);
+      if (silentMs > FORGET_AFTER_MS) this.#peers.delete(vm);
     }
-    return missed;
+    return silent;
   }
 
-  /** Takes in that another VM misses `vm`, unless it was heard here since. */
+  /**
+   * Applies another VM's report that `vm` is silent, unless this VM received a
+   * message from it since.
+   */
   noteSilent(vm: VmId, silentMs: number): void {
     const peer = this.#peers.get(vm);
     if (peer === undefined || !peer.isLive) return;
-    const silentHereMs = this.#clock.now() - peer.heardAt;
-    if (silentHereMs + ON_THE_WAY_MS >= silentMs) this.#setSilent(vm, peer);
+    const silentHereMs = this.#clock.now() - peer.lastReceivedAt;
+    if (silentHereMs + ARRIVAL_SKEW_MS >= silentMs) this.#setSilent(vm, peer);
   }
 
   find(vm: VmId): FleetPeer | undefined {
     return this.#peers.get(vm);
   }
 
-  /** VMs that are heard, or were not long ago. */
+  /** All VMs that have not been removed yet, silent ones included. */
   listKnown(): VmId[] {
     return [...this.#peers.keys()];
   }
 
-  /** VMs that are heard. */
   listLive(): FleetPeer[] {
     return [...this.#peers.values()].filter((peer) => peer.isLive);
   }
 
-  /** VMs that were heard once and are silent. */
+  /** VMs that were live before and are silent now. */
   listSilent(): FleetPeer[] {
     return [...this.#peers.values()].filter((peer) => !peer.isLive);
   }
@@ -148,13 +158,13 @@
   #setSilent(vm: VmId, peer: FleetPeer): void {
     peer.isLive = false;
     this.#revision += 1;
-    const ms = Math.round(this.#clock.now() - peer.heardAt);
+    const ms = Math.round(this.#clock.now() - peer.lastReceivedAt);
     this.#log.warn("peer_silent", { peer: vm, ms });
   }
 }
 
-/** Whether owners are chosen by something that is another now. */
-function isOtherCandidate(
+/** Whether a property changed that the choice of owners depends on. */
+function hasOwnershipChange(
   before: FleetHeartbeat,
   after: FleetHeartbeat,
 ): boolean {
--- a/src/process/seeded_fleet/heartbeat_interval.ts
+++ b/src/process/seeded_fleet/heartbeat_interval.ts
@@ -1,50 +1,54 @@
 /**
- * How often a VM tells all others that it lives.
+ * Interval between heartbeats to all peers.
  *
  * @module
  */
 
-/** Without news a heartbeat goes out this often, in milliseconds. */
-export const HEARTBEAT_EVERY_MS = 150;
+/** Interval of heartbeats that carry nothing new. */
+export const HEARTBEAT_INTERVAL_MS = 150;
 /**
- * Heartbeats to all grow rarer with their number: a VM sends 10 of them a
- * second in a large fleet of any size. Those that place requests hear each VM
- * at every `HEARTBEAT_EVERY_MS`, and tell the others whom they miss.
+ * The interval grows with the number of peers, so that a VM of a large fleet of
+ * any size sends 10 of these heartbeats a second. Pool owners receive a message
+ * from each VM at every `HEARTBEAT_INTERVAL_MS` and report silent VMs to the
+ * others.
  */
 const HEARTBEAT_PER_PEER_MS = 100;
-/** The same where all hear of each other's work: 100 a second at most. */
+/**
+ * The same in a small fleet, where all VMs exchange their work: at most 100 a
+ * second.
+ */
 const SMALL_FLEET_HEARTBEAT_PER_PEER_MS = 10;
 /**
- * One that was first in a round and is last in the next waits for one and this
- * many times the time that it was told: less than the heartbeats that a live VM
- * may miss.
+ * A peer that was first in one round and is last in the next waits for the
+ * announced interval times one plus this factor, which must stay below
+ * `MAX_MISSED_HEARTBEATS`.
  */
-const MOST_GROWTH = 3;
+const MAX_GROWTH_FACTOR = 3;
 
-/** The time between heartbeats to all. */
+/** The current interval between heartbeats to all peers. */
 export class HeartbeatInterval {
-  #ms = HEARTBEAT_EVERY_MS;
+  #ms = HEARTBEAT_INTERVAL_MS;
 
   static create(): HeartbeatInterval {
     return new HeartbeatInterval();
   }
 
-  /** In milliseconds. */
   get ms(): number {
     return this.#ms;
   }
 
   /**
-   * Follows the number of peers; `isOwned` where some VMs alone place requests.
-   * Grows by `MOST_GROWTH` at a time: one that misses the first rarer
-   * heartbeat expects the next one at the old time, and would else take this
-   * VM for gone before it comes.
+   * Adapts the interval to the number of peers; `hasOwners` tells whether pools
+   * have owners. The interval grows by at most `MAX_GROWTH_FACTOR` at a time: a
+   * peer that missed the first heartbeat with the longer interval still expects
+   * the next one at the old interval, and would consider this VM silent before
+   * it arrives.
    */
-  update(isOwned: boolean, peerCount: number): void {
-    const perPeerMs = isOwned
+  update(hasOwners: boolean, peerCount: number): void {
+    const perPeerMs = hasOwners
       ? HEARTBEAT_PER_PEER_MS
       : SMALL_FLEET_HEARTBEAT_PER_PEER_MS;
-    const wantedMs = Math.max(HEARTBEAT_EVERY_MS, perPeerMs * peerCount);
-    this.#ms = Math.min(wantedMs, MOST_GROWTH * this.#ms);
+    const targetMs = Math.max(HEARTBEAT_INTERVAL_MS, perPeerMs * peerCount);
+    this.#ms = Math.min(targetMs, MAX_GROWTH_FACTOR * this.#ms);
   }
 }
--- a/src/process/seeded_fleet/heartbeat_options.ts
+++ b/src/process/seeded_fleet/heartbeat_options.ts
@@ -1,5 +1,5 @@
 /**
- * What heartbeats are made of, and who hears of what they bring.
+ * Content of heartbeats and the callbacks for what they deliver.
  *
  * @module
  */
@@ -11,50 +11,51 @@
 import type { Random } from "../random.ts";
 import type { DatagramLink } from "./datagram_link.ts";
 import type {
-  AnswerMessage,
-  AskMessage,
   FleetHeartbeat,
-  FleetWork,
+  PlacementAnswerMessage,
+  PlacementRequestMessage,
+  WorkReport,
 } from "./fleet_message.ts";
 import type { FleetPeer } from "./fleet_peers.ts";
 
-/** What a VM tells of its work to some of those that place requests. */
-export interface WorkShare {
-  /** Who is told; undefined for all VMs. Nobody is in two shares. */
+/** Work of this VM for some of the VMs that place requests. */
+export interface WorkUpdate {
+  /** Receivers; undefined for all VMs. No VM is in two updates. */
   owners: ReadonlySet<VmId> | undefined;
-  /** What is told once is taken out of what is told later. */
-  work: FleetWork;
-  /** Whether anything differs from what was told before. */
+  /** Entries that are sent once are not part of a later update. */
+  work: WorkReport;
+  /** Whether anything differs from the previous update. */
   isNew: boolean;
 }
 
-/** What a VM says of itself in a heartbeat. */
+/** What a VM reports about itself in a heartbeat. */
 export type HeartbeatContent = Omit<
   FleetHeartbeat,
   "kind" | "sequence" | "nextMs" | "heard" | "work"
 >;
 
-/** What sending and receiving heartbeats needs. */
+/** Options of `FleetHeartbeats`. */
 export interface FleetHeartbeatsOptions {
   vm: VmId;
   clock: Clock;
   random: Random;
   log: Log;
   link: DatagramLink;
-  /** Where other VMs may take datagrams; may be stale. */
+  /** Datagram endpoints of other VMs; may be stale. */
   getSeeds: () => readonly Endpoint[];
-  /** Where this VM takes datagrams. */
+  /** Datagram endpoint of this VM. */
   self: Endpoint;
-  /** What this VM says of itself. */
   buildHeartbeat: () => HeartbeatContent;
-  /** This VM's work; what is told once is taken out by it. */
-  takeWork: () => readonly WorkShare[];
-  /** Who places requests; undefined where each VM does. */
+  /** Returns this VM's work and removes the entries that are sent once. */
+  takeWorkUpdates: () => readonly WorkUpdate[];
+  /** VMs that place requests; undefined where each VM does. */
   listOwners: () => ReadonlySet<VmId> | undefined;
   onHeartbeat: (peer: FleetPeer) => void;
-  /** As `MessageReceiverOptions`. */
+  /** See `MessageReceiverOptions`. */
   onSuspects: (entries: SuspectEntry[], from: Endpoint) => SuspectEntry[];
   listSuspects: () => SuspectEntry[];
-  onAsk: (ask: AskMessage) => AnswerMessage;
-  onAnswer: (answer: AnswerMessage) => void;
+  onPlacementRequest: (
+    request: PlacementRequestMessage,
+  ) => PlacementAnswerMessage;
+  onPlacementAnswer: (answer: PlacementAnswerMessage) => void;
 }
--- a/src/process/seeded_fleet/heartbeat_targets.ts
+++ b/src/process/seeded_fleet/heartbeat_targets.ts
@@ -1,5 +1,5 @@
 /**
- * Which VMs a heartbeat goes to.
+ * Chooses the VMs that a heartbeat goes to.
  *
  * @module
  */
@@ -10,36 +10,40 @@
 import type { FleetPeers } from "./fleet_peers.ts";
 
 /**
- * A newer version or list is told to so many VMs in a large fleet. All VMs see
- * it at about the same time and each tells of it, so one that cannot read the
- * store hears of it from several: all but one in four hundred do at once, and
- * the others by the next heartbeats.
+ * Number of peers that get a newer configuration or list at once in a large
+ * fleet. All VMs that watch the store see a change at about the same time and
+ * each announces it, so a VM that cannot read the store gets it from several
+ * peers: all but one in four hundred do at once, the others with the next
+ * heartbeats.
  */
-const STATE_NEWS_PEERS = 6;
-/** Seeds and silent VMs are tried this often, in milliseconds. */
-const RETRY_EVERY_MS = 500;
-/** Of the silent VMs so many are tried at a time. */
-const RETRIED_PEERS = 8;
-/** While nobody is heard, seeds are tried at each heartbeat for so long. */
-const EAGER_MS = 5_000;
+const STATE_UPDATE_PEERS = 6;
+/** Interval at which seeds and silent VMs are retried. */
+const RETRY_INTERVAL_MS = 500;
+/** Maximum number of silent VMs retried at a time. */
+const MAX_RETRIED_PEERS = 8;
+/**
+ * Time after the start during which a VM without live peers tries its seeds
+ * with each heartbeat.
+ */
+const STARTUP_RETRY_MS = 5_000;
 
-/** What the choice needs. */
+/** Options of `HeartbeatTargets`. */
 export interface HeartbeatTargetsOptions {
   clock: Clock;
   random: Random;
   peers: FleetPeers;
-  /** Where other VMs may take datagrams; may be stale. */
+  /** Datagram endpoints of other VMs; may be stale. */
   getSeeds: () => readonly Endpoint[];
-  /** Where this VM takes datagrams. */
+  /** Datagram endpoint of this VM. */
   self: Endpoint;
 }
 
-/** Chooses among those that are heard, the silent ones and the seeds. */
+/** Chooses among live peers, silent peers and seeds. */
 export class HeartbeatTargets {
   readonly #options: HeartbeatTargetsOptions;
   readonly #startedAt: number;
   #lastRetryAt = -Infinity;
-  /** Those that a heartbeat goes to next, in random order. */
+  /** Peers that have not had a heartbeat in this round, in random order. */
   #round: VmId[] = [];
 
   constructor(options: HeartbeatTargetsOptions) {
@@ -51,28 +55,28 @@
     return new HeartbeatTargets(options);
   }
 
-  /** Everybody who is heard. */
+  /** Endpoints of all live peers. */
   listLive(): Endpoint[] {
     return this.#options.peers.listLive().map((peer) => peer.endpoint);
   }
 
-  /** Some of those that are heard, for news that others tell as well. */
+  /** Some live peers, for changes that other VMs announce as well. */
   pickSome(): Endpoint[] {
-    return this.#options.random.pickSome(this.listLive(), STATE_NEWS_PEERS);
+    return this.#options.random.pickSome(this.listLive(), STATE_UPDATE_PEERS);
   }
 
   /**
-   * The next `count` of those that are heard, each once in a round. Heartbeats
-   * to all at a time would be as many, yet what they say, such as the age of a
-   * view, would be as old as a round is long. Sent to a few at a time in random
-   * order it is handed on by each that hears it, and reaches all within a
+   * The next `count` live peers; each is picked once in a round. Heartbeats to
+   * all peers at once would cost as much, but their content, such as the age of
+   * a view, would be as old as a round is long. In random order, a few at a
+   * time, such content spreads from peer to peer and reaches all VMs within a
    * second.
    */
   pickNext(count: number): Endpoint[] {
     const { peers, random } = this.#options;
     if (this.#round.length === 0) {
-      const names = peers.listLive().map(({ heartbeat }) => heartbeat.vm);
-      this.#round = random.pickOrder(names);
+      const ids = peers.listLive().map(({ heartbeat }) => heartbeat.vm);
+      this.#round = random.pickOrder(ids);
     }
     return this.#round.splice(0, count).map((vm) => peers.find(vm))
       .filter((peer) => peer !== undefined && peer.isLive)
@@ -80,20 +84,20 @@
   }
 
   /**
-   * Silent VMs, and seeds that are not heard, where it is time to try them:
-   * after a partition both sides would else take each other for gone for good.
+   * Silent VMs, and seeds that are not live peers, when a retry is due: without
+   * it both sides of a partition would consider each other gone for good.
    */
-  listRetried(): Endpoint[] {
+  listRetryTargets(): Endpoint[] {
     const { clock, peers, getSeeds, random, self } = this.#options;
     const now = clock.now();
-    const isEager = peers.listLive().length === 0 &&
-      now - this.#startedAt < EAGER_MS;
-    if (!isEager && now - this.#lastRetryAt < RETRY_EVERY_MS) return [];
+    const isStarting = peers.listLive().length === 0 &&
+      now - this.#startedAt < STARTUP_RETRY_MS;
+    if (!isStarting && now - this.#lastRetryAt < RETRY_INTERVAL_MS) return [];
     this.#lastRetryAt = now;
-    const silent = random.pickSome(peers.listSilent(), RETRIED_PEERS)
+    const silent = random.pickSome(peers.listSilent(), MAX_RETRIED_PEERS)
       .map((peer) => peer.endpoint);
-    const heard = new Set([...this.listLive(), self]);
-    const seeds = getSeeds().filter((each) => !heard.has(each));
+    const live = new Set([...this.listLive(), self]);
+    const seeds = getSeeds().filter((each) => !live.has(each));
     return [...silent, ...seeds];
   }
 }
--- a/src/process/seeded_fleet/index.ts
+++ b/src/process/seeded_fleet/index.ts
@@ -1,27 +1,34 @@
 /**
- * A fleet whose VMs know each other by seeds and follow what is published.
+ * Fleet whose VMs discover each other through seeds and follow the published
+ * state.
  *
  * @module
  */
 export { encodeMessage } from "./fleet_message.ts";
-export type { AnswerMessage, AskMessage, FleetWork } from "./fleet_message.ts";
+export type {
+  PlacementAnswerMessage,
+  PlacementRequestMessage,
+  WorkReport,
+} from "./fleet_message.ts";
 export { DatagramLink, UdpLink } from "./datagram_link.ts";
 export type { FleetPeer, FleetPeers } from "./fleet_peers.ts";
 export { FleetHeartbeats } from "./fleet_heartbeats.ts";
-export type { HeartbeatContent, WorkShare } from "./heartbeat_options.ts";
+export type { HeartbeatContent, WorkUpdate } from "./heartbeat_options.ts";
 export {
-  findDuty,
+  findPartition,
   isSmallFleet,
-  listDuties,
+  listPartitionOwners,
   listPartitionOwners as listOwnersOf,
+  listPartitions,
   PoolOwners,
 } from "./pool_owners.ts";
 export type { FleetMember, OwnerCandidate } from "./pool_owners.ts";
-export { PlacementRequester as PlacementAsker } from "./placement_requester.ts";
+export { PlacementRequester } from "./placement_requester.ts";
 export { PeerCalls } from "./peer_calls.ts";
 export { PublishedStore } from "./published_store.ts";
 export type {
   PublishedState,
+  StoreUpdate,
   StoreUpdate as StoreNews,
 } from "./published_store.ts";
 export { StateFollower } from "./state_follower.ts";
--- a/src/process/seeded_fleet/message_receiver.ts
+++ b/src/process/seeded_fleet/message_receiver.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in what other VMs send: heartbeats, asks, answers, and whom they hear
- * or miss.
+ * Handles datagrams from other VMs: heartbeats, placement requests and answers,
+ * member lists, silent VMs and suspect requests.
  *
  * @module
  */
@@ -11,41 +11,46 @@
 import type { SuspectEntry } from "../quarantine/index.ts";
 import type { DatagramLink } from "./datagram_link.ts";
 import {
-  type AnswerMessage,
-  type AskMessage,
   decodeMessage,
   encodeMessage,
   type FleetHeartbeat,
   type FleetMessage,
   type MembersMessage,
+  type PlacementAnswerMessage,
+  type PlacementRequestMessage,
 } from "./fleet_message.ts";
 import type { FleetPeer, FleetPeers } from "./fleet_peers.ts";
 import type { HeartbeatTargets } from "./heartbeat_targets.ts";
 import { buildSuspectMessages } from "./suspect_messages.ts";
 
-/** A VM that hears so much of what another one hears needs no list of it. */
-const FULL_SHARE = 0.8;
-/** What taking in messages needs. */
+/**
+ * A VM that already knows this share of another VM's live peers gets no member
+ * list.
+ */
+const FULL_VIEW_SHARE = 0.8;
+/** Options of `MessageReceiver`. */
 export interface MessageReceiverOptions {
   vm: VmId;
   log: Log;
   link: DatagramLink;
-  /** Where this VM takes datagrams. */
+  /** Datagram endpoint of this VM. */
   self: Endpoint;
   peers: FleetPeers;
   targets: HeartbeatTargets;
-  /** Sends a heartbeat without news. */
-  sendPlain: (to: ReadonlySet<Endpoint>) => void;
+  /** Sends a heartbeat without work. */
+  sendWithoutWork: (to: ReadonlySet<Endpoint>) => void;
   onHeartbeat: (peer: FleetPeer) => void;
-  /** Returns what the sender should know better. */
+  /** Returns the entries for which the sender lacks newer evidence. */
   onSuspects: (entries: SuspectEntry[], from: Endpoint) => SuspectEntry[];
-  /** What a VM that was not heard before is to know at once. */
+  /** Entries for a VM that was just discovered. */
   listSuspects: () => SuspectEntry[];
-  onAsk: (ask: AskMessage) => AnswerMessage;
-  onAnswer: (answer: AnswerMessage) => void;
+  onPlacementRequest: (
+    request: PlacementRequestMessage,
+  ) => PlacementAnswerMessage;
+  onPlacementAnswer: (answer: PlacementAnswerMessage) => void;
 }
 
-/** Reads datagrams and hands on what they say. */
+/** Decodes datagrams and dispatches their messages. */
 export class MessageReceiver {
   readonly #options: MessageReceiverOptions;
 
@@ -76,7 +81,7 @@
   }
 
   #handleMessage(message: FleetMessage, from: Endpoint): void {
-    const { link, onAsk, onAnswer } = this.#options;
+    const { link, onPlacementRequest, onPlacementAnswer } = this.#options;
     match(message)
       .with(
         { kind: "heartbeat" },
@@ -86,38 +91,39 @@
         const peer = this.#options.peers.noteAlive(alive);
         if (peer !== undefined) this.#options.onHeartbeat(peer);
       })
-      .with({ kind: "members" }, (members) => this.#announceTo(members))
+      .with({ kind: "members" }, (members) => this.#announceToMembers(members))
       .with({ kind: "silent" }, ({ vms }) => {
         for (const [vm, ms] of vms) this.#options.peers.noteSilent(vm, ms);
       })
       .with({ kind: "suspects" }, ({ entries }) => {
         this.#sendSuspects(from, this.#options.onSuspects(entries, from));
       })
-      .with({ kind: "ask" }, (ask) => {
-        link.send(from, encodeMessage(onAsk(ask)));
+      .with({ kind: "ask" }, (request) => {
+        link.send(from, encodeMessage(onPlacementRequest(request)));
       })
-      .with({ kind: "answer" }, (answer) => onAnswer(answer))
+      .with({ kind: "answer" }, (answer) => onPlacementAnswer(answer))
       .exhaustive();
   }
 
   #handleHeartbeat(heartbeat: FleetHeartbeat, from: Endpoint): void {
     if (heartbeat.vm === this.#options.vm) return;
     const { isNew } = this.#options.peers.noteHeartbeat(heartbeat, from);
-    if (isNew) this.#answerNew(heartbeat, from);
+    if (isNew) this.#handleNewPeer(heartbeat, from);
     const peer = this.#options.peers.find(heartbeat.vm);
     if (peer?.heartbeat === heartbeat) this.#options.onHeartbeat(peer);
   }
 
   /**
-   * Makes itself known to a VM that was unknown, and tells it whom this VM
-   * hears, and which requests are suspect, if it hears few: when a whole fleet
-   * starts, each VM would else send the list of all to each.
+   * Sends a heartbeat to a newly discovered VM. If that VM has few live peers,
+   * also sends it this VM's live peers and the suspect requests; doing so
+   * always would make each VM send the full list to each other one when a whole
+   * fleet starts.
    */
-  #answerNew(heartbeat: FleetHeartbeat, to: Endpoint): void {
-    this.#options.sendPlain(new Set([to]));
+  #handleNewPeer(heartbeat: FleetHeartbeat, to: Endpoint): void {
+    this.#options.sendWithoutWork(new Set([to]));
     const endpoints = this.#options.targets.listLive()
       .filter((endpoint) => endpoint !== to);
-    if (heartbeat.heard >= FULL_SHARE * endpoints.length) return;
+    if (heartbeat.heard >= FULL_VIEW_SHARE * endpoints.length) return;
     const message: MembersMessage = { kind: "members", endpoints };
     this.#options.link.send(to, encodeMessage(message));
     this.#sendSuspects(to, this.#options.listSuspects());
@@ -129,13 +135,13 @@
     }
   }
 
-  /** Makes itself known to VMs that it had not heard of. */
-  #announceTo(message: MembersMessage): void {
+  /** Sends a heartbeat to the listed VMs that were unknown. */
+  #announceToMembers(message: MembersMessage): void {
     const known = new Set([
       ...this.#options.targets.listLive(),
       this.#options.self,
     ]);
     const unknown = message.endpoints.filter((each) => !known.has(each));
-    this.#options.sendPlain(new Set(unknown));
+    this.#options.sendWithoutWork(new Set(unknown));
   }
 }
--- a/src/process/seeded_fleet/peer_calls.ts
+++ b/src/process/seeded_fleet/peer_calls.ts
@@ -1,5 +1,5 @@
 /**
- * What a VM fetches from another one that has more than it.
+ * HTTP calls that fetch newer state and cached prefixes from another VM.
  *
  * @module
  */
@@ -7,16 +7,16 @@
 import { fetchWhole, readReport } from "../../connection/whole_call.ts";
 import type { VmId } from "../../ids.ts";
 import type { PlacementEntry } from "../placement/index.ts";
-import type { HandedState, KnownVersions } from "./state_follower.ts";
+import type { KnownVersions, NewerState } from "./state_follower.ts";
 
-/** Configuration and replicas that are newer than the asker's. */
+/** Path for configuration and replicas that are newer than the caller's. */
 export const STATE_PATH = "/v1/state";
-/** What replicas have cached. */
+/** Path for the prefixes that replicas have cached. */
 export const PREFIXES_PATH = "/v1/prefixes";
-const LIMIT_MS = 1_000;
-const MAX_BYTES = 8_388_608;
+const FETCH_TIMEOUT_MS = 1_000;
+const MAX_ANSWER_BYTES = 8_388_608;
 
-/** Calls of other VMs, by the addresses that they tell. */
+/** Calls to other VMs at the state endpoints of their heartbeats. */
 export class PeerCalls {
   readonly #transport: UpstreamTransport;
 
@@ -28,8 +28,8 @@
     return new PeerCalls(transport);
   }
 
-  /** What `vm` has beyond `known`; rejects `StepError`. */
-  fetchState(vm: VmId, known: KnownVersions): Promise<HandedState> {
+  /** State of `vm` that is newer than `known`; rejects with `StepError`. */
+  fetchState(vm: VmId, known: KnownVersions): Promise<NewerState> {
     const query = new URLSearchParams({
       config: String(known.configVersion),
       list: String(known.listRevision),
@@ -37,7 +37,7 @@
     return this.#fetch(vm, `${STATE_PATH}?${query}`);
   }
 
-  /** What `vm` knows of replicas' caches; rejects `StepError`. */
+  /** Replica caches as `vm` knows them; rejects with `StepError`. */
   fetchPrefixes(vm: VmId): Promise<PlacementEntry[]> {
     return this.#fetch(vm, PREFIXES_PATH);
   }
@@ -48,15 +48,15 @@
       step,
       method: "GET",
       path,
-      limitMs: LIMIT_MS,
-      maxBytes: MAX_BYTES,
+      limitMs: FETCH_TIMEOUT_MS,
+      maxBytes: MAX_ANSWER_BYTES,
     });
     const parse = (value: unknown) => value as T;
     return readReport(answer, { step, upstream: vm, parse });
   }
 }
 
-/** The versions that a call's query names. */
+/** Parses the versions in a call's query. */
 export function parseKnownVersions(query: URLSearchParams): KnownVersions {
   return {
     configVersion: Number(query.get("config") ?? 0),
--- a/src/process/seeded_fleet/placement_requester.ts
+++ b/src/process/seeded_fleet/placement_requester.ts
@@ -1,71 +1,89 @@
 /**
- * Asks of this VM to the owners of pools, and their answers.
+ * Sends placement requests to pool owners and matches their answers.
  *
  * @module
  */
 import type { PoolName, VmId } from "../../ids.ts";
 import type { Clock } from "../clock.ts";
 import type { Log } from "../log.ts";
-import type { AnswerMessage, AskMessage } from "./fleet_message.ts";
+import type {
+  PlacementAnswerMessage,
+  PlacementRequestMessage,
+} from "./fleet_message.ts";
 import type { FleetPeer } from "./fleet_peers.ts";
 
 /**
- * An answer takes some 5 ms between data centres; an owner that has not
- * answered after so long, in milliseconds, is gone, cut off or overloaded.
+ * An answer takes about 5 ms between data centres. An owner that has not
+ * answered within this time is down, unreachable or overloaded.
  */
-const ANSWER_WITHIN_MS = 40;
+const ANSWER_TIMEOUT_MS = 40;
 /**
- * An owner that left one ask without an answer is not asked for so long, in
- * milliseconds: otherwise each request would wait for it until it is missed.
+ * An owner that left a placement request unanswered gets no more of them for
+ * this time. Otherwise each request would wait for it until its heartbeats are
+ * missed.
  */
-const AVOIDED_MS = 500;
+const SILENT_OWNER_BACK_OFF_MS = 500;
 
-/** Where a request should go, and who decided it. */
-export type PlacedByOwner = NonNullable<AnswerMessage["placed"]> & {
+/** Placement of a request and the owner that chose it. */
+export type OwnerPlacement = NonNullable<PlacementAnswerMessage["placed"]> & {
   owner: VmId;
 };
-/** What became of an ask; undefined where nobody answered it. */
-export type OwnerAnswer = PlacedByOwner | "full" | undefined;
-/** What is asked, without what the asker fills in. */
-export type AskContent = Omit<AskMessage, "kind" | "vm" | "ask">;
+/** Result of a placement request; undefined if no owner answered. */
+export type PlacementResult = OwnerPlacement | "full" | undefined;
+/** Placement request without the fields that the requester fills in. */
+export type PlacementRequestContent = Omit<
+  PlacementRequestMessage,
+  "kind" | "vm" | "ask"
+>;
 
-/** What the asker needs. */
-export interface PlacementAskerOptions {
+/** Options of `PlacementRequester`. */
+export interface PlacementRequesterOptions {
   vm: VmId;
   clock: Clock;
   log: Log;
-  /** Who places a pool's requests, the owner first, without this VM. */
+  /** Owners to ask for a pool in order, without this VM. */
   listOwners: (pool: PoolName) => readonly FleetPeer[];
-  send: (to: FleetPeer, message: AskMessage) => void;
+  send: (to: FleetPeer, message: PlacementRequestMessage) => void;
 }
 
-/** Sends asks and waits for their answers. */
+/** Sends placement requests and waits for their answers. */
 export class PlacementRequester {
-  readonly #options: PlacementAskerOptions;
-  readonly #open = new Map<number, (answer: AnswerMessage) => void>();
+  readonly #options: PlacementRequesterOptions;
+  readonly #pending = new Map<
+    number,
+    (answer: PlacementAnswerMessage) => void
+  >();
   readonly #avoidedUntil = new Map<VmId, number>();
-  #lastAsk = 0;
+  #lastRequest = 0;
 
-  constructor(options: PlacementAskerOptions) {
+  constructor(options: PlacementRequesterOptions) {
     this.#options = options;
   }
 
-  static create(options: PlacementAskerOptions): PlacementRequester {
+  static create(options: PlacementRequesterOptions): PlacementRequester {
     return new PlacementRequester(options);
   }
 
-  /** For the heartbeat: which asks its loads include. */
-  get numbers(): { lastAsk: number; openAsks: number[] } {
-    return { lastAsk: this.#lastAsk, openAsks: [...this.#open.keys()] };
+  /**
+   * Placement requests that this VM's reported loads include, for the
+   * heartbeat.
+   */
+  get requestNumbers(): { lastAsk: number; openAsks: number[] } {
+    return { lastAsk: this.#lastRequest, openAsks: [...this.#pending.keys()] };
   }
 
-  /** Undefined when no owner answers in time, or none is to be asked. */
-  async ask(content: AskContent): Promise<OwnerAnswer> {
+  /**
+   * Requests a placement from each owner in turn. Resolves to undefined if no
+   * owner answers in time or there is none to ask.
+   */
+  async fetchPlacement(
+    content: PlacementRequestContent,
+  ): Promise<PlacementResult> {
     for (const owner of this.#options.listOwners(content.pool)) {
       const { vm } = owner.heartbeat;
       const avoidedUntil = this.#avoidedUntil.get(vm) ?? 0;
       if (avoidedUntil > this.#options.clock.now()) continue;
-      const answer = await this.#askOne(owner, content);
+      const answer = await this.#sendRequest(owner, content);
       if (answer?.placed !== undefined) return { ...answer.placed, owner: vm };
       if (answer !== undefined) return answer.isFull ? "full" : undefined;
       this.#noteSilent(vm, content.pool);
@@ -73,33 +91,33 @@
     return undefined;
   }
 
-  /** Takes in an answer; one that comes too late changes nothing. */
-  noteAnswer(answer: AnswerMessage): void {
-    this.#open.get(answer.ask)?.(answer);
+  /** Handles an answer; one that arrives after the timeout is ignored. */
+  noteAnswer(answer: PlacementAnswerMessage): void {
+    this.#pending.get(answer.ask)?.(answer);
   }
 
-  #askOne(
+  #sendRequest(
     owner: FleetPeer,
-    content: AskContent,
-  ): Promise<AnswerMessage | undefined> {
+    content: PlacementRequestContent,
+  ): Promise<PlacementAnswerMessage | undefined> {
     const { clock, vm, send } = this.#options;
-    this.#lastAsk += 1;
-    const ask = this.#lastAsk;
+    this.#lastRequest += 1;
+    const number = this.#lastRequest;
     return new Promise((resolve) => {
-      const settle = (answer?: AnswerMessage) => {
+      const settle = (answer?: PlacementAnswerMessage) => {
         cancelTimer();
-        this.#open.delete(ask);
+        this.#pending.delete(number);
         resolve(answer);
       };
-      const cancelTimer = clock.startTimer(ANSWER_WITHIN_MS, () => settle());
-      this.#open.set(ask, settle);
-      send(owner, { kind: "ask", vm, ask, ...content });
+      const cancelTimer = clock.startTimer(ANSWER_TIMEOUT_MS, () => settle());
+      this.#pending.set(number, settle);
+      send(owner, { kind: "ask", vm, ask: number, ...content });
     });
   }
 
   #noteSilent(vm: VmId, pool: PoolName): void {
     const { clock, log } = this.#options;
-    this.#avoidedUntil.set(vm, clock.now() + AVOIDED_MS);
-    log.warn("owner_silent", { peer: vm, pool, ms: ANSWER_WITHIN_MS });
+    this.#avoidedUntil.set(vm, clock.now() + SILENT_OWNER_BACK_OFF_MS);
+    log.warn("owner_silent", { peer: vm, pool, ms: ANSWER_TIMEOUT_MS });
   }
 }
--- a/src/process/seeded_fleet/pool_owners.ts
+++ b/src/process/seeded_fleet/pool_owners.ts
@@ -1,11 +1,12 @@
 /**
- * Which VMs place requests: their owner, and the one that takes over while it
- * is silent.
+ * Selects the VMs that place requests: an owner for each pool, and a substitute
+ * for the time in which the owner is silent.
  *
- * In a small fleet every VM hears of each request within some 25 ms and decides
- * by itself. In a large one that news would be most of what links and
- * processors do, and it would be old: hundreds of requests are sent in the time
- * that it takes. There, one VM decides for all, and it alone has to know.
+ * In a small fleet each VM learns of every request within some 25 ms and places
+ * requests itself. In a large fleet these updates would take most of the
+ * network and processor time, and would still be too late: hundreds of requests
+ * are sent in that time. There the owner places all requests of a pool, and
+ * only the owner needs the updates.
  *
  * @module
  */
@@ -13,100 +14,108 @@
 import { computeRendezvousOrder, pickRendezvousFirst } from "../rendezvous.ts";
 
 /**
- * Fleets of so many VMs, this one included, need no owners. Each VM there sends
- * and reads up to 330 datagrams a second of 0.6 KB. Of sixteen VMs with a third
- * of a core each, some read their callers' requests two seconds late in a
- * flood.
+ * Fleets up to this size, this VM included, have no owners. Each VM of such a
+ * fleet sends and receives up to 330 datagrams of 0.6 KB a second. In a fleet
+ * of sixteen VMs with a third of a core each, some read callers' requests two
+ * seconds late under a flood of requests.
  */
-const SMALL_FLEET_MOST = 12;
+const MAX_SMALL_FLEET_VMS = 12;
 /**
- * The owner and its substitute, who hears all that it hears. What VMs tell of
- * their work goes to each of them; while both are gone, VMs decide alone.
+ * The owner and its substitute. VMs send their work reports to both; while both
+ * are down, each VM places requests itself.
  */
-const OWNERS = 2;
+const OWNERS_PER_PARTITION = 2;
 /**
- * An owner has at least this share of the cores of the largest VM: it handles
- * three to four datagrams for each request of its pool.
+ * Minimum cores of an owner, as a share of the cores of the largest VM: an
+ * owner handles three to four datagrams for each request of its pools.
  */
-const ABLE_SHARE = 0.5;
+const MIN_CORE_SHARE = 0.5;
 
 /**
- * Pools are shared out among one owner for so many VMs. Each VM tells of its
- * work to every owner, so more owners than needed would be more datagrams; this
- * many VMs bring an owner some 700 requests a second.
+ * There is one owner for this many VMs, which send it some 700 requests a
+ * second. Each VM sends its work report to every owner, so more owners than
+ * needed would mean more datagrams.
  */
 const VMS_PER_OWNER = 100;
 
-/** A VM that may place requests. */
+/** VM that may place requests. */
 export interface OwnerCandidate {
   vm: VmId;
-  /** Processor cores that it may use. */
+  /** Processor cores that the VM may use. */
   cores: number;
-  /** Whether it knows what replicas have cached. */
+  /** Whether the VM knows what replicas have cached. */
   isPrimed: boolean;
 }
 
-/** A VM of the fleet; one that serves callers and stays may place requests. */
+/**
+ * Member of the fleet; it may place requests if it serves callers and is not
+ * draining.
+ */
 export interface FleetMember extends OwnerCandidate {
   isServing: boolean;
   isDraining: boolean;
 }
 
-/** Some VMs that place requests, and what they own or stand in for. */
+/** Owners and substitutes of the same partitions. */
 export interface OwnerGroup {
-  duties: readonly string[];
+  partitions: readonly string[];
   vms: ReadonlySet<VmId>;
 }
 
-/** Who places the requests of each pool, as long as nobody comes or leaves. */
+/** Owners of all pools for one set of fleet members. */
 export class PoolOwners {
-  /** What the owners were found by; another one needs them found anew. */
+  /**
+   * Key of the members that the owners were chosen from; another key needs a
+   * new `PoolOwners`.
+   */
   readonly key: string;
   /** Whether the fleet is large enough for owners. */
   readonly isNeeded: boolean;
-  /** Everybody who places requests of any pool. */
+  /** All VMs that own a pool or substitute for its owner. */
   readonly owners: ReadonlySet<VmId>;
-  /** The same by duties; each VM is in one group. */
+  /** The owners grouped by partitions; each VM is in exactly one group. */
   readonly groups: readonly OwnerGroup[];
-  readonly #byDuty: ReadonlyMap<string, readonly VmId[]>;
-  readonly #duties: readonly string[];
+  readonly #ownersByPartition: ReadonlyMap<string, readonly VmId[]>;
+  readonly #partitions: readonly string[];
 
   constructor(key: string, vms: readonly FleetMember[]) {
     this.key = key;
     this.isNeeded = !isSmallFleet(vms.length);
-    this.#duties = this.isNeeded ? listDuties(vms.length) : [];
+    this.#partitions = this.isNeeded ? listPartitions(vms.length) : [];
     const candidates = vms.filter(({ isServing, isDraining }) =>
       isServing && !isDraining
     );
-    this.#byDuty = new Map(
-      this.#duties.map((duty) => [duty, listPartitionOwners(duty, candidates)]),
+    this.#ownersByPartition = new Map(
+      this.#partitions.map((
+        partition,
+      ) => [partition, listPartitionOwners(partition, candidates)]),
     );
-    this.owners = new Set([...this.#byDuty.values()].flat());
+    this.owners = new Set([...this.#ownersByPartition.values()].flat());
     this.groups = this.#listGroups();
   }
 
-  /** `vms` are all that are heard and this VM itself. */
+  /** `vms` are all live VMs, this one included. */
   static create(key: string, vms: readonly FleetMember[]): PoolOwners {
     return new PoolOwners(key, vms);
   }
 
-  findDuty(pool: PoolName): string {
-    return findDuty(pool, this.#duties);
+  findPartition(pool: PoolName): string {
+    return findPartition(pool, this.#partitions);
   }
 
-  /** The owner first, then who takes its place. */
+  /** The owner of the pool, followed by its substitute. */
   listOwners(pool: PoolName): readonly VmId[] {
-    return this.#byDuty.get(this.findDuty(pool)) ?? [];
+    return this.#ownersByPartition.get(this.findPartition(pool)) ?? [];
   }
 
   #listGroups(): OwnerGroup[] {
-    const groups = new Map<string, { duties: string[]; vms: Set<VmId> }>();
+    const groups = new Map<string, { partitions: string[]; vms: Set<VmId> }>();
     for (const vm of this.owners) {
-      const duties = this.#duties.filter((duty) =>
-        this.#byDuty.get(duty)?.includes(vm)
+      const partitions = this.#partitions.filter((partition) =>
+        this.#ownersByPartition.get(partition)?.includes(vm)
       );
-      const key = duties.join();
-      const group = groups.get(key) ?? { duties, vms: new Set() };
+      const key = partitions.join();
+      const group = groups.get(key) ?? { partitions, vms: new Set() };
       groups.set(key, group);
       group.vms.add(vm);
     }
@@ -114,37 +123,45 @@
   }
 }
 
-/** Whether a fleet of `count` VMs does without owners. */
+/** Whether a fleet of `count` VMs has no owners. */
 export function isSmallFleet(count: number): boolean {
-  return count <= SMALL_FLEET_MOST;
+  return count <= MAX_SMALL_FLEET_VMS;
 }
 
-/** What there is to own in a fleet of `count` VMs. */
-export function listDuties(count: number): string[] {
+/**
+ * Names of the partitions that pools are divided into in a fleet of `count`
+ * VMs.
+ */
+export function listPartitions(count: number): string[] {
   const owners = Math.ceil(count / VMS_PER_OWNER);
   return Array.from({ length: owners }, (_, index) => `pools-${index}`);
 }
 
-/** Which of `duties` includes the pool. */
-export function findDuty(pool: PoolName, duties: readonly string[]): string {
-  return pickRendezvousFirst(pool, duties) ?? pool;
+/** Finds the partition of a pool. */
+export function findPartition(
+  pool: PoolName,
+  partitions: readonly string[],
+): string {
+  return pickRendezvousFirst(pool, partitions) ?? pool;
 }
 
 /**
- * The owner first, then who takes its place. A VM that has just started knows
- * of no cache, so those that do go first.
+ * The owner of a partition, followed by its substitute. VMs that know what
+ * replicas have cached come before VMs that have just started.
  */
 export function listPartitionOwners(
-  duty: string,
+  partition: string,
   candidates: readonly OwnerCandidate[],
 ): VmId[] {
-  const mostCores = Math.max(...candidates.map(({ cores }) => cores));
-  const able = candidates.filter(({ cores }) =>
-    cores >= ABLE_SHARE * mostCores
+  const maxCores = Math.max(...candidates.map(({ cores }) => cores));
+  const eligible = candidates.filter(({ cores }) =>
+    cores >= MIN_CORE_SHARE * maxCores
   );
-  const primed = able.filter(({ isPrimed }) => isPrimed);
-  const others = able.filter(({ isPrimed }) => !isPrimed);
+  const primed = eligible.filter(({ isPrimed }) => isPrimed);
+  const others = eligible.filter(({ isPrimed }) => !isPrimed);
   return [primed, others]
-    .flatMap((each) => computeRendezvousOrder(duty, each.map(({ vm }) => vm)))
-    .slice(0, OWNERS);
+    .flatMap((each) =>
+      computeRendezvousOrder(partition, each.map(({ vm }) => vm))
+    )
+    .slice(0, OWNERS_PER_PARTITION);
 }
--- a/src/process/seeded_fleet/published_store.ts
+++ b/src/process/seeded_fleet/published_store.ts
@@ -1,33 +1,36 @@
 /**
- * The platform's store, as far as an entry VM reads it.
+ * The platform's store as entry VMs read it.
  *
  * @module
  */
 import type { PublishedConfiguration } from "../../version/published.ts";
 import type { ReplicaList } from "../placement/replica_list.ts";
 
-/** Everything that is published. */
+/** Everything that the platform publishes. */
 export interface PublishedState {
-  /** Counts all changes; also the replicas' revision. */
+  /** Increases with each change; also the revision of the replica list. */
   revision: number;
-  /** Undefined before the operator published the first. */
+  /** Undefined until the operator publishes the first one. */
   configuration: PublishedConfiguration | undefined;
   replicas: ReplicaList;
 }
 
-/** What a watch says. */
+/** Result of a watch. */
 export type StoreUpdate =
   | { kind: "state"; state: PublishedState }
-  /** The history that the watch went on from is gone: read all again. */
+  /**
+   * The revision that the watch started from is no longer in the store's
+   * history: read everything again.
+   */
   | { kind: "history_lost" };
 
-/** Reads and watches what the platform publishes; nothing is written. */
+/** Reads and watches what the platform publishes; read-only. */
 export abstract class PublishedStore {
-  /** Reads everything; rejects `StepError`. */
+  /** Reads everything; rejects with `StepError`. */
   abstract fetchState(): Promise<PublishedState>;
   /**
-   * Waits at most `waitMs` for a change after what was read last, and gives
-   * the state with it. Rejects `StepError`.
+   * Waits up to `waitMs` for a change since the last read and returns the state
+   * with it. Rejects with `StepError`.
    */
   abstract watch(waitMs: number): Promise<StoreUpdate>;
 }
--- a/src/process/seeded_fleet/recently_expired.ts
+++ b/src/process/seeded_fleet/recently_expired.ts
@@ -1,9 +1,10 @@
 /**
- * Replicas whose entries lapsed while nobody could renew them.
+ * Retains replicas whose entries expired while the store was unavailable.
  *
- * While the store is away, entries of replicas that are well run out. Taken at
- * its word, the first list after its return would leave a pool without
- * replicas, and every request would be refused though all of them serve.
+ * While the store is unavailable, entries of healthy replicas expire because
+ * they cannot be renewed. Applied as it is, the first list afterwards would
+ * leave a pool without replicas, and every request would be refused although
+ * all of them serve.
  *
  * @module
  */
@@ -11,21 +12,24 @@
 import type { Clock } from "../clock.ts";
 import type { ListedReplica, ReplicaList } from "../placement/replica_list.ts";
 
-/** A store that did not answer for so long counts as having been away. */
-const AWAY_MS = 1_000;
-/** A replica that is well is back in the list so soon after its return. */
-const BACK_WITHIN_MS = 2_200;
+/** Minimum time without an answer that counts as an outage of the store. */
+const MIN_OUTAGE_MS = 1_000;
 /**
- * A list with lapsed replicas in it stands half a step before the store's own,
- * so that the store's is taken as newer once the time is over.
+ * Healthy replicas renew their entries within this time after the store is
+ * available again.
  */
-const HALF_STEP = 0.5;
+const RENEWAL_WAIT_MS = 2_200;
+/**
+ * A list with retained replicas gets a revision just below the store's, so that
+ * the store's own list counts as newer once the time is over.
+ */
+const REVISION_OFFSET = 0.5;
 
-/** Keeps lapsed replicas for a short time after the store came back. */
+/** Retains expired replicas for a short time after an outage of the store. */
 export class RecentlyExpired {
   readonly #clock: Clock;
-  readonly #kept = new Map<VmId, ListedReplica>();
-  #keepUntil = -Infinity;
+  readonly #retained = new Map<VmId, ListedReplica>();
+  #retainUntil = -Infinity;
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -35,33 +39,36 @@
     return new RecentlyExpired(clock);
   }
 
-  /** Whether replicas are kept that the store's list has not. */
-  get isKeeping(): boolean {
-    return this.#kept.size > 0;
+  /** Whether any replica is retained that is missing in the store's list. */
+  get isRetaining(): boolean {
+    return this.#retained.size > 0;
   }
 
-  /** The store answers again after it had been silent for `awayMs`. */
-  noteReturn(awayMs: number): void {
-    if (awayMs < AWAY_MS) return;
-    this.#keepUntil = this.#clock.now() + BACK_WITHIN_MS;
+  /**
+   * Records that the store answers again after `unavailableMs` without an
+   * answer.
+   */
+  noteStoreRegained(unavailableMs: number): void {
+    if (unavailableMs < MIN_OUTAGE_MS) return;
+    this.#retainUntil = this.#clock.now() + RENEWAL_WAIT_MS;
   }
 
-  /** The list to go by, given the store's own and the one before it. */
+  /** The list to use, given the store's list and the previous one. */
   apply(list: ReplicaList, before: ReplicaList): ReplicaList {
-    if (this.#clock.now() >= this.#keepUntil) {
-      this.#kept.clear();
+    if (this.#clock.now() >= this.#retainUntil) {
+      this.#retained.clear();
       return list;
     }
     const listed = new Set(list.replicas.map((replica) => replica.id));
     for (const replica of before.replicas) {
-      if (!listed.has(replica.id)) this.#kept.set(replica.id, replica);
+      if (!listed.has(replica.id)) this.#retained.set(replica.id, replica);
     }
-    for (const id of listed) this.#kept.delete(id);
-    if (!this.isKeeping) return list;
+    for (const id of listed) this.#retained.delete(id);
+    if (!this.isRetaining) return list;
     return {
       ...list,
-      revision: list.revision - HALF_STEP,
-      replicas: [...list.replicas, ...this.#kept.values()],
+      revision: list.revision - REVISION_OFFSET,
+      replicas: [...list.replicas, ...this.#retained.values()],
     };
   }
 }
--- a/src/process/seeded_fleet/replica_changes.ts
+++ b/src/process/seeded_fleet/replica_changes.ts
@@ -1,5 +1,5 @@
 /**
- * What differs between two lists of replicas, and the log of it.
+ * Compares two replica lists and logs the changes.
  *
  * @module
  */
@@ -7,13 +7,13 @@
 import type { Log } from "../log.ts";
 import type { ListedReplica, ReplicaList } from "../placement/replica_list.ts";
 
-/** A replica and its new state, that it started again, or that it is gone. */
+/** State change, restart or removal of a replica. */
 export interface ReplicaChange {
   replica: VmId;
   change: ListedReplica["state"] | "restarted" | "gone";
 }
 
-/** Replicas whose state or incarnation is another one in `after`. */
+/** Replicas that were added or removed, changed their state, or restarted. */
 export function listChanges(
   before: ReplicaList,
   after: ReplicaList,
@@ -41,11 +41,11 @@
     before.startedAt !== after.startedAt;
 }
 
-/** Writes a line for each change, or one for a first list. */
+/** Logs one line per change, or a single line for the first list. */
 export function writeChanges(
   log: Log,
   changes: readonly ReplicaChange[],
-  /** `from` names who told of the list. */
+  /** `from` is the source of the list. */
   source: { list: ReplicaList; from: string; isFirst: boolean },
 ): void {
   const { from, list: { revision } } = source;
