--- a/src/process/seeded_fleet/state_follower.ts
+++ b/src/process/seeded_fleet/state_follower.ts
@@ -1,11 +1,13 @@
 /**
- * Keeps this VM at the newest configuration and list of replicas, from the
- * store or from another VM that has newer ones; it never goes back.
+ * Keeps the configuration and the replica list of this VM up to date, from the
+ * store or from another VM that has newer ones. An older version never replaces
+ * a newer one.
  *
- * Reads of the store are priced and limited for the whole fleet, so a few VMs
- * watch and the others take what these hand on. A VM that hears of nobody with
- * a fresh view watches by itself until one is there again: a watcher may be cut
- * off from the store and say nothing of it but the age of what it has.
+ * Reads of the store are billed and limited for the whole fleet, so a few VMs
+ * watch it and the others fetch changes from them. A VM that knows of no peer
+ * with a fresh view watches the store itself until there is one again: a
+ * watcher that is cut off from the store may show it only by the age of its
+ * view.
  *
  * @module
  */
@@ -30,41 +32,43 @@
 import { listChanges, writeChanges } from "./replica_changes.ts";
 import { listEvacuations, writeEvacuations } from "./evacuation_changes.ts";
 
-/** VMs that watch the store: two may fail without a gap. */
-const WATCHERS = 3;
-/** A watch waits so long for a change, in milliseconds. */
+/** VMs that watch the store: two of them may fail without a gap. */
+const WATCHER_COUNT = 3;
+/** A watch waits this long for a change. */
 const WATCH_WAIT_MS = 1_500;
 /**
- * Views older than this are taken as cut off from the store, in milliseconds:
- * a watch that lasts to its end, and half as long again.
+ * A view older than one and a half watches counts as cut off from the store.
  */
-const STALE_AFTER_MS = 2_200;
-/** While lapsed replicas are kept, the list is looked at again so soon. */
-const LAPSED_WAIT_MS = 300;
+const STALE_VIEW_MS = 2_200;
+/** Length of a watch while expired replicas are retained. */
+const EXPIRED_WATCH_WAIT_MS = 300;
 const RETRY_MS = 250;
 /**
- * While the store is away all VMs look for its return, each so many
- * milliseconds apart for each VM of the fleet: some 40 calls a second of a
- * fleet of any size. Each call is priced, and 195 VMs that all tried four times
- * a second would take half of what the store bears.
+ * While the store is unavailable all VMs retry, at an interval that grows by
+ * this time with each VM: some 40 calls a second for a fleet of any size. Calls
+ * are billed, and 195 VMs that each retry four times a second would use half of
+ * the store's capacity.
  */
 const RETRY_PER_VM_MS = 25;
-/** How often a VM looks whether it has to watch, in milliseconds. */
-const IDLE_CHECK_MS = 200;
+/** Interval at which a VM checks whether it has to watch the store. */
+const WATCH_CHECK_INTERVAL_MS = 200;
 
-/** The versions that a VM has already. */
+/** Versions that a VM already has. */
 export interface KnownVersions {
   configVersion: number;
   listRevision: number;
 }
 
-/** What a VM offers that has something newer. */
-export interface HandedState {
+/**
+ * Configuration and replica list, where newer than the versions of the VM that
+ * asked.
+ */
+export interface NewerState {
   configuration?: PublishedConfiguration;
   replicas?: ReplicaList;
 }
 
-/** What a follower needs. */
+/** Options of `StateFollower`. */
 export interface StateFollowerOptions {
   vm: VmId;
   clock: Clock;
@@ -73,38 +77,41 @@
   store: PublishedStore;
   peers: FleetPeers;
   replicas: ReplicaDirectory;
-  /** Asks another VM for what is newer than the two versions. */
+  /** Fetches what another VM has beyond the two versions. */
   fetchFrom: (
     peer: FleetPeer,
     known: KnownVersions,
-  ) => Promise<HandedState>;
+  ) => Promise<NewerState>;
   onSnapshot: (snapshot: RoutedSnapshot) => void;
-  /** Hears of each newer list, also where nothing that matters differs. */
+  /** Called with each newer list, even if no replica changed. */
   onList: (list: ReplicaList) => void;
-  /** Hears of each change, with the replicas that started again. */
+  /**
+   * Called when replicas or evacuations changed, with the replicas that
+   * restarted.
+   */
   onReplicas: (restarted: readonly VmId[]) => void;
-  /** Hears that the store does not answer this VM any more. */
+  /** Called when the store stops answering this VM. */
   onStoreLost: () => void;
 }
 
-/** Follows store and peers. */
+/** Follows the store and peers. */
 export class StateFollower {
   readonly #options: StateFollowerOptions;
   readonly #stopped = new AbortController();
-  readonly #lapsed: RecentlyExpired;
+  readonly #expired: RecentlyExpired;
   #configuration: PublishedConfiguration | undefined;
   #snapshot: RoutedSnapshot | undefined;
   #confirmedAt = -Infinity;
   #isWatching = false;
   #isFetching = false;
   /** Whether this process has read the store before. */
-  #hasRead = false;
-  /** `Clock.now()` of the first failure since the store answered last. */
+  #hasReadStore = false;
+  /** `Clock.now()` of the first failure since the store last answered. */
   #lostSince: number | undefined;
 
   constructor(options: StateFollowerOptions) {
     this.#options = options;
-    this.#lapsed = RecentlyExpired.create(options.clock);
+    this.#expired = RecentlyExpired.create(options.clock);
   }
 
   static create(options: StateFollowerOptions): StateFollower {
@@ -123,7 +130,7 @@
     return this.#snapshot;
   }
 
-  /** Whether the store did not answer this VM when it was asked last. */
+  /** Whether the last call to the store failed. */
   get isStoreLost(): boolean {
     return this.#lostSince !== undefined;
   }
@@ -132,16 +139,16 @@
     return this.#isWatching;
   }
 
-  /** How long ago the list was known to be the newest; -1 for never. */
+  /** Time since the list was last known to be the newest; -1 for never. */
   getListAgeMs(): number {
     const age = this.#options.clock.now() - this.#confirmedAt;
     return Number.isFinite(age) ? Math.round(age) : -1;
   }
 
-  /** What this VM has beyond what another one knows. */
-  buildHandedState(known: KnownVersions): HandedState {
+  /** State of this VM that is newer than `known`. */
+  buildNewerState(known: KnownVersions): NewerState {
     const { replicas } = this.#options;
-    const state: HandedState = {};
+    const state: NewerState = {};
     const configuration = this.#configuration;
     if (configuration && configuration.version > known.configVersion) {
       state.configuration = configuration;
@@ -152,7 +159,7 @@
     return state;
   }
 
-  /** Takes in which versions another VM has, and fetches what is newer. */
+  /** Records the versions of another VM and fetches what is newer. */
   notePeer(peer: FleetPeer): void {
     const { heartbeat } = peer;
     const revision = this.#options.replicas.revision;
@@ -172,9 +179,9 @@
         configVersion: this.#configuration?.version ?? 0,
         listRevision: this.#options.replicas.revision,
       });
-      this.#applyHanded(state, peer.heartbeat.vm);
+      this.#applyNewerState(state, peer.heartbeat.vm);
     } catch (thrown) {
-      // The next heartbeat of any VM tries again.
+      // The next heartbeat of any VM triggers another attempt.
       this.#options.log.info("peer_fetch_failed", {
         peer: peer.heartbeat.vm,
         error: toError(thrown).message,
@@ -184,7 +191,7 @@
     }
   }
 
-  #applyHanded(state: HandedState, from: VmId): void {
+  #applyNewerState(state: NewerState, from: VmId): void {
     if (state.configuration) {
       this.#applyConfiguration(state.configuration, from);
     }
@@ -204,7 +211,10 @@
         });
       }
       if (!isNeeded) {
-        await clock.sleep(IDLE_CHECK_MS * (0.5 + random.next()), signal);
+        await clock.sleep(
+          WATCH_CHECK_INTERVAL_MS * (0.5 + random.next()),
+          signal,
+        );
         continue;
       }
       await this.#watchOnce();
@@ -212,30 +222,30 @@
   }
 
   /**
-   * Others take the place of watchers that the store turns away: it may turn
-   * away just these. To wait until all views are old would take longer than a
-   * key that was taken away may go on.
+   * VMs without access to the store are skipped, because the store may refuse
+   * only these. Waiting until all views are stale would take longer than a
+   * revoked key may remain valid.
    */
   #isWatchNeeded(): boolean {
     const { vm, peers, replicas } = this.#options;
     if (this.#snapshot === undefined || replicas.revision === 0) return true;
-    if (this.#isViewOld()) return true;
+    if (this.#isViewStale()) return true;
     const vms = peers.listLive()
       .filter(({ heartbeat }) =>
         !heartbeat.isDraining && !heartbeat.isStoreLost
       )
       .map((peer) => peer.heartbeat.vm);
     const order = computeRendezvousOrder("store-watch", [vm, ...vms]);
-    return order.slice(0, WATCHERS).includes(vm);
+    return order.slice(0, WATCHER_COUNT).includes(vm);
   }
 
   async #watchOnce(): Promise<void> {
     const { clock, random, store } = this.#options;
     try {
-      const state = this.#hasRead
+      const state = this.#hasReadStore
         ? await this.#watchState()
         : await store.fetchState();
-      this.#hasRead = true;
+      this.#hasReadStore = true;
       this.#applyState(state);
     } catch (thrown) {
       this.#noteStoreLost(toError(thrown));
@@ -246,23 +256,26 @@
     }
   }
 
-  #isViewOld(): boolean {
-    return this.#options.clock.now() - this.#confirmedAt > STALE_AFTER_MS;
+  #isViewStale(): boolean {
+    return this.#options.clock.now() - this.#confirmedAt > STALE_VIEW_MS;
   }
 
-  /** One of the few watchers tries often: all others go by what it has. */
+  /**
+   * Watchers retry often while views are fresh, since all other VMs depend on
+   * them.
+   */
   #computeRetryMs(): number {
-    if (!this.#isViewOld()) return RETRY_MS;
+    if (!this.#isViewStale()) return RETRY_MS;
     const { peers } = this.#options;
     return Math.max(RETRY_MS, RETRY_PER_VM_MS * peers.listLive().length);
   }
 
   async #watchState(): Promise<PublishedState> {
     const { store, log } = this.#options;
-    const news = await store.watch(
-      this.#lapsed.isKeeping ? LAPSED_WAIT_MS : WATCH_WAIT_MS,
+    const update = await store.watch(
+      this.#expired.isRetaining ? EXPIRED_WATCH_WAIT_MS : WATCH_WAIT_MS,
     );
-    if (news.kind === "state") return news.state;
+    if (update.kind === "state") return update.state;
     log.info("store_history_lost");
     return await store.fetchState();
   }
@@ -271,19 +284,19 @@
     if (this.#lostSince !== undefined) return;
     this.#lostSince = this.#options.clock.now();
     this.#options.log.warn("store_lost", { error: error.message });
-    // Once all views are old, each VM tries by itself, and nobody waits for
-    // others to say that they cannot.
-    if (!this.#isViewOld()) this.#options.onStoreLost();
+    // With a stale view each VM watches the store itself and needs no report
+    // that others cannot.
+    if (!this.#isViewStale()) this.#options.onStoreLost();
   }
 
   #noteStoreRegained(revision: number): void {
     if (this.#lostSince === undefined) return;
-    const awayMs = this.#options.clock.now() - this.#lostSince;
+    const unavailableMs = this.#options.clock.now() - this.#lostSince;
     this.#lostSince = undefined;
-    this.#lapsed.noteReturn(awayMs);
+    this.#expired.noteStoreRegained(unavailableMs);
     this.#options.log.info("store_regained", {
       revision,
-      away_ms: Math.round(awayMs),
+      away_ms: Math.round(unavailableMs),
     });
   }
 
@@ -293,7 +306,7 @@
     if (state.configuration) {
       this.#applyConfiguration(state.configuration, "store");
     }
-    const list = this.#lapsed.apply(state.replicas, replicas.getList());
+    const list = this.#expired.apply(state.replicas, replicas.getList());
     this.#applyReplicas(list, "store");
     if (replicas.revision === list.revision) this.#confirmedAt = clock.now();
   }
--- a/src/process/seeded_fleet/suspect_messages.ts
+++ b/src/process/seeded_fleet/suspect_messages.ts
@@ -1,15 +1,15 @@
 /**
- * Evidence against requests as datagrams.
+ * Datagrams with evidence against requests.
  *
  * @module
  */
 import type { SuspectEntry } from "../quarantine/index.ts";
 import type { FleetMessage } from "./fleet_message.ts";
 
-/** About 1 KB, which one frame holds. */
+/** About 1 KB, which fits into one frame. */
 const ENTRIES_PER_MESSAGE = 12;
 
-/** The entries as messages of one frame each; none where there are none. */
+/** Splits the entries into messages that fit into one frame each. */
 export function buildSuspectMessages(
   entries: readonly SuspectEntry[],
 ): FleetMessage[] {
--- a/src/process/shard_summaries.ts
+++ b/src/process/shard_summaries.ts
@@ -1,5 +1,5 @@
 /**
- * What the owners of shards let this VM know of them.
+ * Shard summaries received from the shards' owners.
  *
  * @module
  */
@@ -7,18 +7,19 @@
 import type { Clock } from "./clock.ts";
 import type { ShardSummary } from "./peer_api.ts";
 
-/** A summary that was not replaced for so long says nothing any more. */
-const SUMMARY_LIFE_MS = 10_000;
+/** A summary that was not replaced within this time is ignored. */
+const SUMMARY_TTL_MS = 10_000;
 
-interface Heard {
+interface ReceivedSummary {
   summary: ShardSummary;
+  /** `Clock.now()` when the summary was received. */
   at: number;
 }
 
-/** The last summary of each shard, by each VM that acts as its owner. */
+/** The last summary of each shard from each VM that acts as its owner. */
 export class ShardSummaries {
   readonly #clock: Clock;
-  readonly #heard = new Map<ShardId, Map<VmId, Heard>>();
+  readonly #received = new Map<ShardId, Map<VmId, ReceivedSummary>>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -28,49 +29,50 @@
     return new ShardSummaries(clock);
   }
 
-  /** Takes in `summary`; returns whether it was news. */
+  /** Stores `summary`; returns whether it was new. */
   put(summary: ShardSummary): boolean {
-    const byOwner = this.#heard.get(summary.shard) ?? new Map<VmId, Heard>();
+    const byOwner = this.#received.get(summary.shard) ??
+      new Map<VmId, ReceivedSummary>();
     const known = byOwner.get(summary.owner);
-    // An owner that restarted counts anew: without its incarnation its
-    // summaries would be taken for old ones until the known one has lived out
-    // its time, and callers would go to a shard by figures of a dead process.
-    const isOld = known !== undefined && this.#isLive(known) &&
+    // A restarted owner starts a new sequence. Without the incarnation its
+    // summaries would count as outdated until the stored one expires, and
+    // requests would be sent to the shard on the figures of a dead process.
+    const isOutdated = known !== undefined && this.#isLive(known) &&
       summary.incarnation === known.summary.incarnation &&
       summary.sequence <= known.summary.sequence;
-    if (isOld) return false;
+    if (isOutdated) return false;
     byOwner.set(summary.owner, { summary, at: this.#clock.now() });
-    this.#heard.set(summary.shard, byOwner);
+    this.#received.set(summary.shard, byOwner);
     return true;
   }
 
-  /** The latest summary of `shard`, while it is not too old. */
+  /** The latest summary of `shard` that has not expired. */
   find(shard: ShardId): ShardSummary | undefined {
-    let latest: Heard | undefined;
-    for (const heard of this.#heard.get(shard)?.values() ?? []) {
-      if (!this.#isLive(heard)) continue;
-      if (latest === undefined || heard.at > latest.at) latest = heard;
+    let latest: ReceivedSummary | undefined;
+    for (const entry of this.#received.get(shard)?.values() ?? []) {
+      if (!this.#isLive(entry)) continue;
+      if (latest === undefined || entry.at > latest.at) latest = entry;
     }
     return latest?.summary;
   }
 
-  /** The latest summary of each shard that is not too old. */
+  /** The latest summary of each shard that has not expired. */
   list(): ShardSummary[] {
-    const shards = [...this.#heard.keys()];
+    const shards = [...this.#received.keys()];
     return shards.flatMap((shard) => this.find(shard) ?? []);
   }
 
-  /** Forgets what is too old. */
-  removeOld(): void {
-    for (const [shard, byOwner] of this.#heard) {
-      for (const [owner, heard] of byOwner) {
-        if (!this.#isLive(heard)) byOwner.delete(owner);
+  /** Removes expired summaries. */
+  removeExpired(): void {
+    for (const [shard, byOwner] of this.#received) {
+      for (const [owner, entry] of byOwner) {
+        if (!this.#isLive(entry)) byOwner.delete(owner);
       }
-      if (byOwner.size === 0) this.#heard.delete(shard);
+      if (byOwner.size === 0) this.#received.delete(shard);
     }
   }
 
-  #isLive(heard: Heard): boolean {
-    return this.#clock.now() - heard.at < SUMMARY_LIFE_MS;
+  #isLive(entry: ReceivedSummary): boolean {
+    return this.#clock.now() - entry.at < SUMMARY_TTL_MS;
   }
 }
--- a/src/process/state_listener.ts
+++ b/src/process/state_listener.ts
@@ -1,5 +1,5 @@
 /**
- * The listener for other VMs and for engineers on call.
+ * HTTP listener for other VMs and for operators.
  *
  * @module
  */
@@ -18,50 +18,52 @@
 import type { KnownVersions } from "./seeded_fleet/state_follower.ts";
 
 const STATUS_PATH = "/v1/status";
-const FATE_PATH = /^\/v1\/requests\/([^/]+)$/;
+const REQUEST_STATUS_PATH = /^\/v1\/requests\/([^/]+)$/;
 
-/** What the listener tells; answers are plain data for JSON. */
-export interface StateAnswers {
-  buildHandedState: (known: KnownVersions) => object;
+/** Handlers of the listener's paths; results are sent as JSON. */
+export interface StateHandlers {
+  buildNewerState: (known: KnownVersions) => object;
   listPrefixes: () => object;
   /** The fleet and the replicas as this VM sees them. */
   buildStatus: () => object;
-  /** What became of a request; undefined where nothing is known of it. */
-  findFate: (requestId: RequestId) => object | undefined;
+  /** The status of a request; undefined if the request is unknown. */
+  findRequestStatus: (requestId: RequestId) => object | undefined;
 }
 
 /** Creates the listener. */
 export function createStateListener(
   log: Log,
-  answers: StateAnswers,
+  handlers: StateHandlers,
 ): AnsweringListener {
   return AnsweringListener.create({
     name: "state",
     log,
     buildAnswer: (method, url) =>
-      method === "GET" ? answerGet(url, answers) : buildUnknown("No such call"),
+      method === "GET"
+        ? answerGet(url, handlers)
+        : buildNotFound("Unknown path or method"),
   });
 }
 
-function answerGet(url: URL, answers: StateAnswers): SmallAnswer {
+function answerGet(url: URL, handlers: StateHandlers): SmallAnswer {
   switch (url.pathname) {
     case STATE_PATH: {
       const known = parseKnownVersions(url.searchParams);
-      return buildJsonAnswer(200, answers.buildHandedState(known));
+      return buildJsonAnswer(200, handlers.buildNewerState(known));
     }
     case PREFIXES_PATH:
-      return buildJsonAnswer(200, answers.listPrefixes());
+      return buildJsonAnswer(200, handlers.listPrefixes());
     case STATUS_PATH:
-      return buildJsonAnswer(200, answers.buildStatus());
+      return buildJsonAnswer(200, handlers.buildStatus());
   }
-  const id = FATE_PATH.exec(url.pathname)?.[1];
-  if (id === undefined) return buildUnknown("No such call");
-  const fate = answers.findFate(toId<RequestId>(id));
-  return fate === undefined
-    ? buildUnknown("Nothing is known of this request id")
-    : buildJsonAnswer(200, fate);
+  const id = REQUEST_STATUS_PATH.exec(url.pathname)?.[1];
+  if (id === undefined) return buildNotFound("Unknown path or method");
+  const status = handlers.findRequestStatus(toId<RequestId>(id));
+  return status === undefined
+    ? buildNotFound("Unknown request id")
+    : buildJsonAnswer(200, status);
 }
 
-function buildUnknown(error: string): SmallAnswer {
+function buildNotFound(error: string): SmallAnswer {
   return buildJsonAnswer(404, { error });
 }
--- a/src/process/unlimited_source.ts
+++ b/src/process/unlimited_source.ts
@@ -1,11 +1,11 @@
 /**
- * Limits of workspaces where the records hold none.
+ * Limit source for fleets whose configuration has no workspace limits.
  *
  * @module
  */
 import { LimitSource } from "./services.ts";
 
-/** Admits everything. */
+/** Admits every request. */
 export class UnlimitedSource extends LimitSource {
   static create(): UnlimitedSource {
     return new UnlimitedSource();
--- a/src/process/upstream_notices.ts
+++ b/src/process/upstream_notices.ts
@@ -1,5 +1,6 @@
 /**
- * What upstreams say of themselves before the published list does.
+ * Notices of upstreams that they are leaving, which arrive before the published
+ * list shows it.
  *
  * @module
  */
@@ -7,58 +8,61 @@
 import { UNKNOWN_INCARNATION } from "./member_states.ts";
 import type { MemberUpdate } from "./peer_api.ts";
 
-interface Word {
+interface Notice {
   isLeaving: boolean;
   counter: number;
-  /** `Clock.now()` when it was said; a report is older than an answer. */
-  saidAt: number;
+  /**
+   * `Clock.now()` at the time of the notice; load reports describe an earlier
+   * moment.
+   */
+  reportedAt: number;
 }
 
-/** Each upstream's last word, passed on as news with a counter. */
+/** The last notice of each upstream, with a counter for the gossip. */
 export class UpstreamNotices {
-  readonly #words = new Map<VmId, Word>();
+  readonly #notices = new Map<VmId, Notice>();
 
   static create(): UpstreamNotices {
     return new UpstreamNotices();
   }
 
   isLeaving(vm: VmId): boolean {
-    return this.#words.get(vm)?.isLeaving ?? false;
+    return this.#notices.get(vm)?.isLeaving ?? false;
   }
 
   /**
-   * Takes in the upstream's own word; gives the news where it is new. What it
-   * said before its last word changes nothing.
+   * Records an upstream's own notice and returns the update if it changes the
+   * state. A notice older than the last one is ignored.
    */
-  noteWord(
+  recordNotice(
     vm: VmId,
     isLeaving: boolean,
-    saidAt: number,
+    reportedAt: number,
   ): MemberUpdate | undefined {
-    const known = this.#words.get(vm);
-    if (known !== undefined && saidAt < known.saidAt) return undefined;
-    if (known !== undefined) known.saidAt = saidAt;
+    const known = this.#notices.get(vm);
+    if (known !== undefined && reportedAt < known.reportedAt) return undefined;
+    if (known !== undefined) known.reportedAt = reportedAt;
     if (this.isLeaving(vm) === isLeaving) return undefined;
     const counter = (known?.counter ?? 0) + 1;
-    this.#words.set(vm, { isLeaving, counter, saidAt });
+    this.#notices.set(vm, { isLeaving, counter, reportedAt });
     const state = isLeaving ? "draining" : "alive";
     return { vm, incarnation: UNKNOWN_INCARNATION, state, counter };
   }
 
-  /** Takes in what a VM passed on just now; returns whether it was new. */
-  noteNews(news: MemberUpdate, now: number): boolean {
-    const known = this.#words.get(news.vm)?.counter ?? 0;
-    if (news.counter <= known) return false;
-    const isLeaving = news.state === "draining";
-    const { counter } = news;
-    this.#words.set(news.vm, { isLeaving, counter, saidAt: now });
+  /** Applies an update that a VM just forwarded; returns whether it was new. */
+  applyUpdate(update: MemberUpdate, now: number): boolean {
+    const known = this.#notices.get(update.vm)?.counter ?? 0;
+    if (update.counter <= known) return false;
+    const isLeaving = update.state === "draining";
+    const { counter } = update;
+    this.#notices.set(update.vm, { isLeaving, counter, reportedAt: now });
     return true;
   }
 
-  /** Forgets the upstreams that are not in `listed`. */
+  /** Removes the upstreams that are not in `listed`. */
   removeUnlisted(listed: ReadonlySet<VmId>): void {
-    for (const vm of this.#words.keys()) {
-      if (!listed.has(vm)) this.#words.delete(vm);
+    for (const vm of this.#notices.keys()) {
+      if (!listed.has(vm)) this.#notices.delete(vm);
     }
   }
 }
--- a/src/process/with_timeout.ts
+++ b/src/process/with_timeout.ts
@@ -1,18 +1,18 @@
 /**
- * A bound on how long an answer is waited for.
+ * Timeout for a promise.
  *
  * @module
  */
 import type { Clock } from "./clock.ts";
 
-/** What `answer` gives within `ms`; undefined when it takes longer. */
+/** Resolves like `promise`, or to undefined if it takes longer than `ms`. */
 export function withTimeout<T>(
-  answer: Promise<T>,
+  promise: Promise<T>,
   ms: number,
   clock: Clock,
 ): Promise<T | undefined> {
   return new Promise((resolve, reject) => {
     const cancel = clock.startTimer(ms, () => resolve(undefined));
-    answer.then(resolve, reject).finally(cancel);
+    promise.then(resolve, reject).finally(cancel);
   });
 }
--- a/test/process/fleet_membership_test.ts
+++ b/test/process/fleet_membership_test.ts
@@ -1,5 +1,5 @@
 /**
- * The published list joined with beliefs.
+ * Tests the published list combined with member states.
  *
  * @module
  */
@@ -38,12 +38,12 @@
 }
 
 describe("upstreams", () => {
-  it("that are listed as leaving are left out", async () => {
+  it("are excluded if listed as leaving", async () => {
     const fleet = await startWithUpstreams();
     expect(listUpstreams(fleet, 3)).toEqual(["up-0", "up-1"]);
   });
 
-  it("that say so themselves are left out, everywhere in seconds", async () => {
+  it("are excluded on all VMs within seconds of their own notice", async () => {
     const fleet = await startWithUpstreams();
     const { membership } = getVm(fleet, 0);
     membership.noteUpstreamLeaving(toId<VmId>("up-1"));
@@ -66,8 +66,9 @@
     );
   });
 
-  // Guards against a load report, which describes an earlier moment.
-  it("that said so are left out whatever they said before", async () => {
+  // Guards against an upstream that is used again because of a load report,
+  // which describes an earlier moment than the notice.
+  it("stay excluded when an older notice arrives", async () => {
     const fleet = await startWithUpstreams();
     const { membership } = getVm(fleet, 0);
     const upstream = toId<VmId>("up-1");
@@ -79,7 +80,7 @@
 });
 
 describe("owners", () => {
-  it("are alike at every VM, and spread over the VMs", async () => {
+  it("are the same on every VM and evenly distributed", async () => {
     const fleet = await startFleet({ count: 8 });
     const counts = new Map<VmId, number>();
     for (let key = 0; key < 400; key += 1) {
@@ -94,7 +95,7 @@
     expect(Math.max(...counts.values())).toBeLessThan(2 * 400 / 8);
   });
 
-  it("by the list alone do not follow beliefs", async () => {
+  it("from the list alone do not depend on member states", async () => {
     const fleet = await startFleet({ count: 4 });
     const { membership } = getVm(fleet, 0);
     const keys = Array.from({ length: 50 }, (_, index) => `key/${index}`);
@@ -106,7 +107,7 @@
     expect(keys.map((key) => membership.findOwner(key))).not.toContain("vm-2");
   });
 
-  it("take no new keys while they are listed as leaving", async () => {
+  it("get no new keys while listed as leaving", async () => {
     const fleet = await startFleet({ count: 4 });
     const listed = fleet.list().map((vm) => vm.listed);
     const leaving = { ...listed[1]!, state: "leaving" as const };
@@ -121,8 +122,8 @@
   });
 });
 
-describe("a VM alone", () => {
-  it("is the owner of everything before any list is there", () => {
+describe("a single VM", () => {
+  it("owns all keys before it has a list", () => {
     const { membership } = getVm(VirtualFleet.create({ count: 1 }), 0);
     expect(membership.getList().revision).toBe(0);
     expect(membership.findOwner("key")).toBe("vm-0");
@@ -131,7 +132,7 @@
 });
 
 describe("messages", () => {
-  it("stay bounded and are what the peers' schema takes", async () => {
+  it("are bounded and match the schema of peer calls", async () => {
     const fleet = await startWithUpstreams();
     const { membership, prober } = getVm(fleet, 0);
     membership.noteUpstreamLeaving(toId<VmId>("up-0"));
--- a/test/process/member_states_test.ts
+++ b/test/process/member_states_test.ts
@@ -1,5 +1,5 @@
 /**
- * What one VM comes to believe of the others.
+ * Tests the states that a VM derives for the other VMs.
  *
  * @module
  */
@@ -15,82 +15,82 @@
 const OTHER = { vm: toId<VmId>("b"), incarnation: toId<Incarnation>("b-1") };
 const SUSPICION_MS = 1_000;
 
-function createBeliefs() {
+function createStates() {
   const clock = VirtualClock.create();
   const sent: MemberUpdate[] = [];
-  const beliefs = MemberStates.create({
+  const states = MemberStates.create({
     self: SELF,
     clock,
-    onNews: (news) => sent.push(news),
+    onUpdate: (update) => sent.push(update),
   });
-  return { beliefs, clock, sent };
+  return { states, clock, sent };
 }
 
-describe("beliefs", () => {
-  it("suspect before they bury", async () => {
-    const { beliefs, clock, sent } = createBeliefs();
-    beliefs.noteContact({ from: OTHER, counter: 0, draining: false });
-    beliefs.noteSilence(OTHER.vm);
-    expect(beliefs.isDead(OTHER.vm)).toBe(false);
+describe("MemberStates", () => {
+  it("suspects a VM before declaring it dead", async () => {
+    const { states, clock, sent } = createStates();
+    states.applySelfReport({ from: OTHER, counter: 0, draining: false });
+    states.noteProbeFailure(OTHER.vm);
+    expect(states.isDead(OTHER.vm)).toBe(false);
     await clock.run(SUSPICION_MS - 1);
-    expect(beliefs.applySuspicions(SUSPICION_MS)).toEqual([]);
+    expect(states.applySuspicionTimeout(SUSPICION_MS)).toEqual([]);
     await clock.run(1);
-    expect(beliefs.applySuspicions(SUSPICION_MS)).toEqual([OTHER.vm]);
-    expect(beliefs.isDead(OTHER.vm)).toBe(true);
+    expect(states.applySuspicionTimeout(SUSPICION_MS)).toEqual([OTHER.vm]);
+    expect(states.isDead(OTHER.vm)).toBe(true);
     expect(sent.map(({ state }) => state)).toEqual(["suspect", "dead"]);
   });
 
-  it("are cleared by a higher counter and by nothing less", () => {
-    const { beliefs } = createBeliefs();
-    beliefs.noteNews({ ...OTHER, state: "dead", counter: 3 });
-    beliefs.noteContact({ from: OTHER, counter: 3, draining: false });
-    beliefs.noteNews({ ...OTHER, state: "alive", counter: 3 });
-    expect(beliefs.isDead(OTHER.vm)).toBe(true);
-    beliefs.noteContact({ from: OTHER, counter: 4, draining: false });
-    expect(beliefs.isDead(OTHER.vm)).toBe(false);
+  it("clears a suspicion only for a higher counter", () => {
+    const { states } = createStates();
+    states.applyUpdate({ ...OTHER, state: "dead", counter: 3 });
+    states.applySelfReport({ from: OTHER, counter: 3, draining: false });
+    states.applyUpdate({ ...OTHER, state: "alive", counter: 3 });
+    expect(states.isDead(OTHER.vm)).toBe(true);
+    states.applySelfReport({ from: OTHER, counter: 4, draining: false });
+    expect(states.isDead(OTHER.vm)).toBe(false);
   });
 
-  it("make a VM refute what is said of it, with a counter above", () => {
-    const { beliefs, sent } = createBeliefs();
-    beliefs.noteNews({ ...SELF, state: "suspect", counter: 7 });
-    expect(beliefs.getOwn().counter).toBe(8);
+  it("refutes a suspicion of this VM with a higher counter", () => {
+    const { states, sent } = createStates();
+    states.applyUpdate({ ...SELF, state: "suspect", counter: 7 });
+    expect(states.getSelfReport().counter).toBe(8);
     expect(sent).toEqual([{ ...SELF, state: "alive", counter: 8 }]);
-    beliefs.noteNews({ ...SELF, state: "dead", counter: 2 });
-    expect(beliefs.getOwn().counter).toBe(8);
+    states.applyUpdate({ ...SELF, state: "dead", counter: 2 });
+    expect(states.getSelfReport().counter).toBe(8);
   });
 
-  it("do not let a doubt about an old life touch the new one", () => {
-    const { beliefs } = createBeliefs();
+  it("ignores a suspicion of an earlier incarnation", () => {
+    const { states } = createStates();
     const next = { vm: OTHER.vm, incarnation: toId<Incarnation>("b-2") };
-    beliefs.noteContact({ from: next, counter: 0, draining: false });
-    beliefs.noteNews({ ...OTHER, state: "dead", counter: 99 });
-    expect(beliefs.isDead(OTHER.vm)).toBe(false);
-    beliefs.noteNews({ ...next, state: "dead", counter: 0 });
-    expect(beliefs.isDead(OTHER.vm)).toBe(true);
+    states.applySelfReport({ from: next, counter: 0, draining: false });
+    states.applyUpdate({ ...OTHER, state: "dead", counter: 99 });
+    expect(states.isDead(OTHER.vm)).toBe(false);
+    states.applyUpdate({ ...next, state: "dead", counter: 0 });
+    expect(states.isDead(OTHER.vm)).toBe(true);
   });
 
-  it("keep that a VM drains through suspicion and refutation", () => {
-    const { beliefs } = createBeliefs();
-    beliefs.noteContact({ from: OTHER, counter: 1, draining: true });
-    beliefs.noteNews({ ...OTHER, state: "suspect", counter: 1 });
-    expect(beliefs.isDraining(OTHER.vm)).toBe(true);
-    beliefs.noteContact({ from: OTHER, counter: 2, draining: true });
-    expect(beliefs.isDraining(OTHER.vm)).toBe(true);
+  it("keeps the draining state through suspicion and refutation", () => {
+    const { states } = createStates();
+    states.applySelfReport({ from: OTHER, counter: 1, draining: true });
+    states.applyUpdate({ ...OTHER, state: "suspect", counter: 1 });
+    expect(states.isDraining(OTHER.vm)).toBe(true);
+    states.applySelfReport({ from: OTHER, counter: 2, draining: true });
+    expect(states.isDraining(OTHER.vm)).toBe(true);
   });
 
-  it("are the same in whatever order news of one life comes", () => {
-    const news = fc.record({
+  it("gives the same result for any order of updates of one incarnation", () => {
+    const update = fc.record({
       vm: fc.constant(OTHER.vm),
       incarnation: fc.constant(OTHER.incarnation),
       state: fc.constantFrom("alive", "suspect", "dead" as const),
       counter: fc.integer({ min: 0, max: 3 }),
     }) as fc.Arbitrary<MemberUpdate>;
     fc.assert(
-      fc.property(fc.array(news, { minLength: 1, maxLength: 8 }), (given) => {
+      fc.property(fc.array(update, { minLength: 1, maxLength: 8 }), (given) => {
         const results = [given, [...given].reverse()].map((order) => {
-          const { beliefs } = createBeliefs();
-          for (const one of order) beliefs.noteNews(one);
-          return beliefs.findDoubt(OTHER.vm);
+          const { states } = createStates();
+          for (const one of order) states.applyUpdate(one);
+          return states.findSuspicion(OTHER.vm);
         });
         expect(results[0]).toEqual(results[1]);
       }),
--- a/test/process/refusing_vm_test.ts
+++ b/test/process/refusing_vm_test.ts
@@ -19,11 +19,11 @@
   return vm;
 }
 
-describe("a VM whose settings cannot be used", () => {
-  // Symptom: callers see connections break and cannot tell what ran.
-  // Sequence: a setting is wrong; the process ends, is started, and ends.
-  // Cause: it ended before it listened.
-  it("refuses where the settings say, with a time to come back", async () => {
+describe("RefusingVm", () => {
+  // Guards against callers that see broken connections and cannot tell whether
+  // their request was executed: with an invalid setting, a process that exits
+  // before it listens is restarted again and again.
+  it("refuses requests on the configured listeners with a retry time", async () => {
     const callers = `${LOOPBACK}:${await findClosedPort()}`;
     const settings = { listeners: { callers, state: 7 }, vm: "" };
     const path = writeSettings(JSON.stringify(settings));
@@ -39,7 +39,7 @@
   });
 
   it.each(["{", "[]", '{"listeners": {"callers": "nowhere"}}'])(
-    "says that it cannot listen anywhere: %s",
+    "reports that no listener could be read from %s",
     async (text) => {
       expect(await createVm().start(writeSettings(text))).toBe(0);
     },
--- a/test/process/rendezvous_test.ts
+++ b/test/process/rendezvous_test.ts
@@ -19,7 +19,7 @@
     }
   });
 
-  test("moves only the keys of an id that goes", () => {
+  test("moves only the keys of a removed id", () => {
     const gone = IDS[7]!;
     const rest = IDS.filter((id) => id !== gone);
     for (const key of listKeys(500)) {
--- a/test/process/seeded_fleet/fleet_heartbeats_test.ts
+++ b/test/process/seeded_fleet/fleet_heartbeats_test.ts
@@ -6,15 +6,15 @@
   encodeMessage,
   FleetHeartbeats,
   type FleetPeer,
-  type FleetWork,
   type HeartbeatContent,
+  type WorkReport,
 } from "../../../src/process/seeded_fleet/index.ts";
 import { SeededRandom } from "../../../src/process/random.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 type Handle = (bytes: Uint8Array, from: string) => void;
 
-/** Datagrams between VMs in virtual time; some ways may be cut. */
+/** Datagrams between VMs in virtual time; single directions can be cut. */
 class FakeNetwork {
   readonly clock = VirtualClock.create();
   readonly cut = new Set<string>();
@@ -60,8 +60,8 @@
 interface VmOptions {
   seeds: string[];
   incarnation?: string;
-  takeResults?: () => FleetWork["results"];
-  /** All others, if left out. */
+  takeResults?: () => WorkReport["results"];
+  /** Undefined if every VM places requests. */
   owners?: string[];
   onHeartbeat?: (peer: FleetPeer) => void;
 }
@@ -99,9 +99,9 @@
     getSeeds: () => options.seeds,
     self,
     buildHeartbeat: () => content,
-    takeWork: () => {
+    takeWorkUpdates: () => {
       const results = options.takeResults?.() ?? [];
-      const work: FleetWork = {
+      const work: WorkReport = {
         loads: [],
         results,
         speeds: [],
@@ -116,10 +116,10 @@
     },
     listOwners: () => owners,
     onHeartbeat: options.onHeartbeat ?? (() => {}),
-    onAsk: ({ ask }) => ({ kind: "answer", ask, isFull: false }),
+    onPlacementRequest: ({ ask }) => ({ kind: "answer", ask, isFull: false }),
     onSuspects: () => [],
     listSuspects: () => [],
-    onAnswer: () => {},
+    onPlacementAnswer: () => {},
   });
   started.start();
   return started;
@@ -140,8 +140,8 @@
   return vm.peers.listLive().map(({ heartbeat }) => heartbeat.vm).sort();
 }
 
-describe("VMs that send heartbeats", () => {
-  it("all hear each other by one seed that lives", async () => {
+describe("FleetHeartbeats", () => {
+  it("makes all VMs discover each other through one live seed", async () => {
     const network = new FakeNetwork();
     const seeds = ["10.0.0.99:1", "10.0.0.1:1"];
     const vms = [1, 2, 3, 4, 5].map((index) =>
@@ -157,7 +157,7 @@
     ]);
   });
 
-  it("miss one that fell silent within a second", async () => {
+  it("detects a silent VM within a second", async () => {
     const network = new FakeNetwork();
     const [first, second] = [1, 2].map((index) =>
       startVm(network, index, { seeds: ["10.0.0.1:1"] })
@@ -168,10 +168,9 @@
     expect(listNames(first!)).toEqual([]);
   });
 
-  // Symptom: half of a fleet serves without the other half for good.
-  // Sequence: a partition lasts until both sides miss each other, and heals.
-  // Cause: nobody tries a VM again that fell silent.
-  it("find each other again after a partition", async () => {
+  // Guards against a fleet that stays split after a partition: once both sides
+  // have considered each other silent, nobody retries the silent VMs.
+  it("reconnects VMs after a partition", async () => {
     const network = new FakeNetwork();
     const [first, second] = [1, 2].map((index) =>
       startVm(network, index, { seeds: [] })
@@ -180,8 +179,8 @@
       seeds: ["10.0.0.1:1", "10.0.0.2:1"],
     });
     await network.clock.run(1_000);
-    const ways = ["10.0.0.1:1>10.0.0.2:1", "10.0.0.2:1>10.0.0.1:1"];
-    ways.forEach((way) => network.cut.add(way));
+    const cuts = ["10.0.0.1:1>10.0.0.2:1", "10.0.0.2:1>10.0.0.1:1"];
+    cuts.forEach((cut) => network.cut.add(cut));
     await network.clock.run(3_000);
     expect(listNames(first!)).toEqual(["vm-3"]);
     network.cut.clear();
@@ -191,10 +190,10 @@
     expect(listNames(third)).toEqual(["vm-1", "vm-2"]);
   });
 
-  // Symptom: VMs spend their links and processors on vm in a large fleet.
-  // Sequence: ninety VMs, each with news of its own work all the time.
-  // Cause: each VM's news went to all others some forty times a second.
-  it("send a bounded number of datagrams, however many they are", async () => {
+  // Guards against heartbeats that take most of a large fleet's network and
+  // processor time. Ninety VMs have work updates all the time; without a bound
+  // each VM sends every update to all others, some forty times a second.
+  it("sends a bounded number of datagrams in a fleet of any size", async () => {
     const network = new FakeNetwork();
     const count = 90;
     const vms = startVms(network, count, { seeds: ["10.0.0.1:1"] });
@@ -202,17 +201,17 @@
     expect(listNames(vms[7]!)).toHaveLength(count - 1);
     network.sent = 0;
     for (let step = 0; step < 100; step++) {
-      vms.forEach((vm) => vm.announceNews());
+      vms.forEach((vm) => vm.announceWork());
       await network.clock.run(10);
     }
     expect(network.sent / count).toBeLessThan(450);
     expect(listNames(vms[7]!)).toHaveLength(count - 1);
   });
 
-  // Symptom: a VM that died is in the directory's answers for many seconds.
-  // Sequence: ninety VMs; the heartbeats between two of them are rare.
-  // Cause: each VM waited for six of them to be missed.
-  it("hear of a silent one by those that place requests", async () => {
+  // Guards against a dead VM that remains in the directory's answers for many
+  // seconds. Heartbeats between two of ninety VMs are rare, and a VM that gets
+  // no report from an owner has to miss six of them.
+  it("learns of a silent VM from pool owners", async () => {
     const network = new FakeNetwork();
     const owners = ["vm-1", "vm-2", "vm-3"];
     const vms = startVms(network, 90, { seeds: ["10.0.0.1:1"], owners });
@@ -224,12 +223,12 @@
     expect(listNames(vms[7]!)).not.toContain("vm-51");
   });
 
-  // Symptom: for seconds after a partition, callers are told of half a fleet.
-  // Sequence: half of forty VMs are cut off from the others, until all are
-  // missed.
-  // Cause: silent VMs were tried only with the rare heartbeats to all, and did
-  // not answer until their own.
-  it("hear each other soon after a partition of a large fleet", async () => {
+  // Guards against callers that get the addresses of only half a fleet for
+  // seconds after a partition. Twenty of forty VMs are cut off until all are
+  // considered silent. If silent VMs are retried only with the rare heartbeats
+  // to all, and answer only with their own next heartbeat, the two sides find
+  // each other late.
+  it("reconnects a large fleet soon after a partition", async () => {
     const network = new FakeNetwork();
     const owners = ["vm-1", "vm-2"];
     const seeds = ["10.0.0.1:1", "10.0.0.40:1"];
@@ -245,29 +244,28 @@
     expect(listNames(vms[7]!)).toHaveLength(19);
     network.cut.clear();
     await network.clock.run(1_200);
-    const heard = vms.map((vm) => listNames(vm).length);
-    expect(Math.min(...heard)).toBeGreaterThanOrEqual(36);
+    const liveCounts = vms.map((vm) => listNames(vm).length);
+    expect(Math.min(...liveCounts)).toBeGreaterThanOrEqual(36);
   });
 
-  it("send news to those that place requests alone", async () => {
+  it("sends work updates only to pool owners", async () => {
     const network = new FakeNetwork();
     const owners = ["vm-1", "vm-2", "vm-3"];
     const vms = startVms(network, 90, { seeds: ["10.0.0.1:1"], owners });
     await network.clock.run(4_000);
     network.sent = 0;
     for (let step = 0; step < 100; step++) {
-      vms.forEach((vm) => vm.announceNews());
+      vms.forEach((vm) => vm.announceWork());
       await network.clock.run(10);
     }
     expect(network.sent / vms.length).toBeLessThan(200);
   });
 
-  // Symptom: VMs spend twice the bytes on each other that operators allow, and
-  // at 195 VMs nine tenths of all that passes between data centres.
-  // Sequence: a large fleet on a calm day; each VM has news now and then.
-  // Cause: all that a VM says of itself and of its work went to all that place
-  // requests seven times a second, whether anything had changed or not.
-  it("say little to those that place requests while nothing changes", async () => {
+  // Guards against twice the traffic between VMs that operators allow, and nine
+  // tenths of the traffic between data centres at 195 VMs. Under low load each
+  // VM has few updates; sending its whole state and work to all owners seven
+  // times a second, changed or not, costs that much.
+  it("sends few bytes to pool owners while nothing changes", async () => {
     const network = new FakeNetwork();
     const owners = ["vm-1", "vm-2", "vm-3", "vm-4"];
     const vms = startVms(network, 60, { seeds: ["10.0.0.1:1"], owners });
@@ -279,55 +277,57 @@
     expect(listNames(vms[7]!)).toHaveLength(59);
   });
 
-  // Symptom: VMs ask the store though others have a fresh view.
-  // Sequence: sixty VMs; one has read the store just now.
-  // Cause: a VM was heard once in many seconds, as heartbeats went to all at a
-  // time, so what the one had said was old by the time others needed it.
-  it("are told by each other at any time, not by all at once", async () => {
+  // Guards against VMs that read the store although others have a fresh view.
+  // One of sixty VMs has just read the store. If a VM sends its heartbeats to
+  // all others at a time, once in many seconds, its report is outdated when the
+  // others need it.
+  it("spreads heartbeats to a VM evenly over time", async () => {
     const network = new FakeNetwork();
     const owners = ["vm-1", "vm-2"];
-    const heardAt: number[] = [];
+    const receivedAt: number[] = [];
     const listener = startVm(network, 61, {
       seeds: ["10.0.0.1:1"],
       owners,
-      onHeartbeat: () => heardAt.push(network.clock.now()),
+      onHeartbeat: () => receivedAt.push(network.clock.now()),
     });
     startVms(network, 60, { seeds: ["10.0.0.1:1"], owners });
     await network.clock.run(30_000);
-    heardAt.length = 0;
+    receivedAt.length = 0;
     await network.clock.run(12_000);
-    const gaps = heardAt.slice(1).map((at, index) => at - heardAt[index]!);
+    const gaps = receivedAt.slice(1).map((at, index) =>
+      at - receivedAt[index]!
+    );
     expect(Math.max(...gaps)).toBeLessThan(1_000);
     expect(listNames(listener)).toHaveLength(60);
   });
 
-  // Symptom: some VMs go on sending to a replica that fails for the others.
-  // Sequence: a VM has news; before its next heartbeat it is told of a VM that
-  // it has not heard of, and makes itself known there.
-  // Cause: that heartbeat took the news with it, and went to the new VM alone.
-  it("tell news to all when they make themselves known to a new one", async () => {
+  // Guards against VMs that keep sending to a replica that fails for the
+  // others. A VM has a work update; before its next heartbeat it discovers a
+  // new VM and sends it a heartbeat. If that heartbeat took the update, the
+  // other VMs would never receive it.
+  it("sends a work update to all VMs after greeting a new one", async () => {
     const network = new FakeNetwork();
-    let news: FleetWork["results"] = [];
-    const heard: FleetWork["results"] = [];
+    let results: WorkReport["results"] = [];
+    const received: WorkReport["results"] = [];
     startVm(network, 1, {
       seeds: ["10.0.0.2:1"],
-      takeResults: () => news.splice(0),
+      takeResults: () => results.splice(0),
     });
     startVm(network, 2, {
       seeds: [],
       onHeartbeat: ({ heartbeat }) =>
-        heard.push(...heartbeat.work?.results ?? []),
+        received.push(...heartbeat.work?.results ?? []),
     });
     await network.clock.run(1_000);
-    news = [[toId<VmId>("replica-1"), 0, 1]];
+    results = [[toId<VmId>("replica-1"), 0, 1]];
     const endpoints = ["10.0.0.3:1"];
     const bytes = encodeMessage({ kind: "members", endpoints });
     network.handles.get("10.0.0.1:1")!(bytes, "10.0.0.2:1");
     await network.clock.run(500);
-    expect(heard).toEqual([["replica-1", 0, 1]]);
+    expect(received).toEqual([["replica-1", 0, 1]]);
   });
 
-  it("are not misled by a datagram that is no message", async () => {
+  it("ignores datagrams that are not valid messages", async () => {
     const network = new FakeNetwork();
     const vm = startVm(network, 1, { seeds: [] });
     const handle = network.handles.get("10.0.0.1:1")!;
--- a/test/process/seeded_fleet/fleet_message_test.ts
+++ b/test/process/seeded_fleet/fleet_message_test.ts
@@ -41,13 +41,14 @@
   };
 }
 
-it("a heartbeat is read as it was sent", () => {
+it("decodes a heartbeat to what was encoded", () => {
   const heartbeat = buildHeartbeat();
   expect(decodeMessage(encodeMessage(heartbeat))).toEqual(heartbeat);
 });
 
-// Guards against a fleet that falls silent while its VMs are replaced.
-it("one without what replicas ask is read, and one with more than is known", () => {
+// Guards against VMs of different versions that reject each other's heartbeats
+// during a rolling upgrade.
+it("accepts a heartbeat that lacks newer fields or has unknown ones", () => {
   const heartbeat = buildHeartbeat();
   const change = (changeWork: (work: unknown[]) => unknown[]) => {
     const values = JSON.parse(encodeMessage(heartbeat).toString());
--- a/test/process/seeded_fleet/pool_owners_test.ts
+++ b/test/process/seeded_fleet/pool_owners_test.ts
@@ -2,18 +2,18 @@
 import { type PoolName, toId, type VmId } from "../../../src/ids.ts";
 import { SilentLog } from "../../../src/process/log.ts";
 import {
-  type AskMessage,
-  findDuty,
+  findPartition,
   type FleetPeer,
-  listDuties,
-  listOwnersOf,
+  listPartitionOwners,
+  listPartitions,
   type OwnerCandidate,
-  PlacementAsker,
+  PlacementRequester,
+  type PlacementRequestMessage,
   PoolOwners,
 } from "../../../src/process/seeded_fleet/index.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
-const DUTY = "pools-0";
+const PARTITION = "pools-0";
 const POOL = toId<PoolName>("llm");
 
 function listCandidates(cores: number[]): OwnerCandidate[] {
@@ -24,41 +24,44 @@
   }));
 }
 
-describe("those that place a pool's requests", () => {
-  it("are two large VMs, the same ones in any order", () => {
+describe("pool owners", () => {
+  it("are two VMs with many cores, independent of the order of candidates", () => {
     const candidates = listCandidates([0.3, 1.3, 0.3, 0.7, 0.9, 1.3, 0.3]);
-    const owners = listOwnersOf(DUTY, candidates);
+    const owners = listPartitionOwners(PARTITION, candidates);
     expect(owners).toHaveLength(2);
     expect(owners.filter((vm) => ["vm-0", "vm-2", "vm-6"].includes(vm)))
       .toEqual([]);
-    expect(listOwnersOf(DUTY, candidates.toReversed())).toEqual(owners);
+    expect(listPartitionOwners(PARTITION, candidates.toReversed())).toEqual(
+      owners,
+    );
   });
 
-  // Symptom: for seconds after a VM has started, prompts are read again.
-  // Sequence: a VM starts, and by its name it is the first choice for a pool.
-  // Cause: it owned the pool before it knew what replicas have cached.
-  it("know of caches, if any VM does", () => {
+  // Guards against prompts that are prefilled again for seconds after a VM has
+  // started: the VM is the first choice for a pool by its id, and would own the
+  // pool before it knows what replicas have cached.
+  it("are VMs that know what replicas have cached, if there are any", () => {
     const candidates = listCandidates([1, 1, 1, 1, 1]);
-    const [first, second] = listOwnersOf(DUTY, candidates);
+    const [first, second] = listPartitionOwners(PARTITION, candidates);
     const restarted = candidates.map((each) =>
       each.vm === first ? { ...each, isPrimed: false } : each
     );
-    expect(listOwnersOf(DUTY, restarted)[0]).toBe(second);
+    expect(listPartitionOwners(PARTITION, restarted)[0]).toBe(second);
   });
 
-  it("share the pools out in a large fleet, each pool to one of them", () => {
-    expect(listDuties(71)).toHaveLength(1);
-    const duties = listDuties(380);
-    expect(duties).toHaveLength(4);
+  it("divide the pools in a large fleet", () => {
+    expect(listPartitions(71)).toHaveLength(1);
+    const partitions = listPartitions(380);
+    expect(partitions).toHaveLength(4);
     const pools = Array.from({ length: 40 }, (_, index) => `pool-${index}`);
-    const used = new Set(pools.map((pool) => findDuty(toId(pool), duties)));
+    const used = new Set(
+      pools.map((pool) => findPartition(toId(pool), partitions)),
+    );
     expect(used.size).toBe(4);
   });
 
-  // Symptom: what a VM told of one pool is forgotten when it tells of another.
-  // Cause: an owner of two pools got two heartbeats, each of which replaced
-  // what the one before had said.
-  it("are in one group each, with all that they own", () => {
+  // Guards against lost work reports: if an owner of two pools received a
+  // heartbeat for each, the second would replace the content of the first.
+  it("are in exactly one group with all their partitions", () => {
     const members = listCandidates(Array(380).fill(1)).map((each) => ({
       ...each,
       isServing: true,
@@ -69,16 +72,16 @@
     const grouped = owners.groups.flatMap(({ vms }) => [...vms]);
     expect(grouped.length).toBe(new Set(grouped).size);
     expect(new Set(grouped)).toEqual(owners.owners);
-    for (const { duties, vms } of owners.groups) {
+    for (const { partitions, vms } of owners.groups) {
       for (const vm of vms) {
-        for (const duty of duties) {
-          expect(listOwnersOf(duty, members)).toContain(vm);
+        for (const partition of partitions) {
+          expect(listPartitionOwners(partition, members)).toContain(vm);
         }
       }
     }
   });
 
-  it("neither leave nor wait to serve", () => {
+  it("are serving and not draining", () => {
     const members = listCandidates(Array(20).fill(1)).map((each, index) => ({
       ...each,
       isServing: index % 2 === 0,
@@ -94,70 +97,84 @@
     expect(PoolOwners.create("key", members.slice(0, 8)).isNeeded).toBe(false);
   });
 
-  it("are nobody in a fleet where nobody serves", () => {
-    expect(listOwnersOf(DUTY, [])).toEqual([]);
+  it("are none in a fleet without candidates", () => {
+    expect(listPartitionOwners(PARTITION, [])).toEqual([]);
   });
 });
 
-describe("a VM that asks an owner", () => {
-  it("takes the owner's answer", async () => {
-    const { clock, asker, asked } = createAsker(["vm-1", "vm-2"]);
-    const placed = asker.ask(NEEDS);
+describe("PlacementRequester", () => {
+  it("returns the owner's answer", async () => {
+    const { clock, requester, sent } = createRequester(["vm-1", "vm-2"]);
+    const placed = requester.fetchPlacement(REQUEST);
     await clock.run(5);
-    expect(asked.map(({ to }) => to)).toEqual(["vm-1"]);
-    expect(asker.numbers).toEqual({ lastAsk: 1, openAsks: [1] });
-    asker.noteAnswer({ kind: "answer", ask: 1, placed: PLACED, isFull: false });
+    expect(sent.map(({ to }) => to)).toEqual(["vm-1"]);
+    expect(requester.requestNumbers).toEqual({ lastAsk: 1, openAsks: [1] });
+    requester.noteAnswer({
+      kind: "answer",
+      ask: 1,
+      placed: PLACED,
+      isFull: false,
+    });
     expect(await placed).toEqual({ ...PLACED, owner: "vm-1" });
-    expect(asker.numbers).toEqual({ lastAsk: 1, openAsks: [] });
+    expect(requester.requestNumbers).toEqual({ lastAsk: 1, openAsks: [] });
   });
 
-  // Symptom: a request that no replica has time for is sent to one all the
-  // same.
-  // Sequence: the owner says that the pool is full; its substitute is not
-  // asked.
-  // Cause: an answer without a replica was taken for one from an owner that
-  // knows none, so the VM decided alone.
-  it("is told that a pool is full", async () => {
-    const { clock, asker, asked } = createAsker(["vm-1", "vm-2"]);
-    const placed = asker.ask(NEEDS);
+  // Guards against a request that is sent to a replica although none has
+  // capacity for it. The owner answers that the pool is full, so its substitute
+  // is not asked. Such an answer, which names no replica, must not be taken for
+  // one from an owner that knows no replicas; otherwise the VM places the
+  // request itself.
+  it("reports a full pool", async () => {
+    const { clock, requester, sent } = createRequester(["vm-1", "vm-2"]);
+    const placed = requester.fetchPlacement(REQUEST);
     await clock.run(5);
-    asker.noteAnswer({ kind: "answer", ask: 1, isFull: true });
+    requester.noteAnswer({ kind: "answer", ask: 1, isFull: true });
     expect(await placed).toBe("full");
-    expect(asked.map(({ to }) => to)).toEqual(["vm-1"]);
+    expect(sent.map(({ to }) => to)).toEqual(["vm-1"]);
   });
 
-  // Symptom: each request waits, until the owner is known to be gone.
-  // Sequence: the owner is killed; some VMs take a second to miss it.
-  // Cause: every request was asked about there first.
-  it("asks the next one when the owner is silent, and then it first", async () => {
-    const { clock, asker, asked } = createAsker(["vm-1", "vm-2"]);
-    const first = asker.ask(NEEDS);
+  // Guards against requests that all wait for a dead owner: after the owner is
+  // killed, some VMs take a second to consider it silent, and would ask it
+  // first for each request.
+  it("asks the substitute when the owner is silent, and asks it first afterwards", async () => {
+    const { clock, requester, sent } = createRequester(["vm-1", "vm-2"]);
+    const first = requester.fetchPlacement(REQUEST);
     await clock.run(50);
-    expect(asked.map(({ to }) => to)).toEqual(["vm-1", "vm-2"]);
-    asker.noteAnswer({ kind: "answer", ask: 2, placed: PLACED, isFull: false });
+    expect(sent.map(({ to }) => to)).toEqual(["vm-1", "vm-2"]);
+    requester.noteAnswer({
+      kind: "answer",
+      ask: 2,
+      placed: PLACED,
+      isFull: false,
+    });
     expect(await first).toEqual({ ...PLACED, owner: "vm-2" });
-    void asker.ask(NEEDS);
-    expect(asked.at(-1)?.to).toBe("vm-2");
+    void requester.fetchPlacement(REQUEST);
+    expect(sent.at(-1)?.to).toBe("vm-2");
   });
 
-  it("decides by itself when nobody answers", async () => {
-    const { clock, asker } = createAsker(["vm-1", "vm-2"]);
-    const placed = asker.ask(NEEDS);
+  it("resolves to undefined when no owner answers", async () => {
+    const { clock, requester } = createRequester(["vm-1", "vm-2"]);
+    const placed = requester.fetchPlacement(REQUEST);
     await clock.run(100);
     expect(await placed).toBeUndefined();
   });
 
-  it("is not misled by an answer that comes late", async () => {
-    const { clock, asker } = createAsker(["vm-1"]);
-    const first = asker.ask(NEEDS);
+  it("ignores an answer after the timeout", async () => {
+    const { clock, requester } = createRequester(["vm-1"]);
+    const first = requester.fetchPlacement(REQUEST);
     await clock.run(100);
     expect(await first).toBeUndefined();
-    asker.noteAnswer({ kind: "answer", ask: 1, placed: PLACED, isFull: false });
-    expect(asker.numbers).toEqual({ lastAsk: 1, openAsks: [] });
+    requester.noteAnswer({
+      kind: "answer",
+      ask: 1,
+      placed: PLACED,
+      isFull: false,
+    });
+    expect(requester.requestNumbers).toEqual({ lastAsk: 1, openAsks: [] });
   });
 });
 
-const NEEDS = {
+const REQUEST = {
   dataCentre: toId<FleetPeer["heartbeat"]["dataCentre"]>("dc"),
   pool: POOL,
   avoid: [],
@@ -176,16 +193,16 @@
   predictedMs: 3,
 };
 
-function createAsker(owners: string[]) {
+function createRequester(owners: string[]) {
   const clock = VirtualClock.create();
-  const asked: { to: string; message: AskMessage }[] = [];
-  const asker = PlacementAsker.create({
+  const sent: { to: string; message: PlacementRequestMessage }[] = [];
+  const requester = PlacementRequester.create({
     vm: toId("vm-9"),
     clock,
     log: SilentLog.create(),
     listOwners: () =>
       owners.map((vm) => ({ heartbeat: { vm } }) as unknown as FleetPeer),
-    send: ({ heartbeat }, message) => asked.push({ to: heartbeat.vm, message }),
+    send: ({ heartbeat }, message) => sent.push({ to: heartbeat.vm, message }),
   });
-  return { clock, asker, asked };
+  return { clock, requester, sent };
 }
--- a/test/process/seeded_fleet/recently_expired_test.ts
+++ b/test/process/seeded_fleet/recently_expired_test.ts
@@ -28,44 +28,44 @@
   return list.replicas.map((replica) => replica.id);
 }
 
-describe("replicas whose entries lapsed", () => {
-  // Symptom: a replica that left gets new work for seconds.
-  // Sequence: nothing changes for longer than an outage would last; then a
-  // replica leaves, and its entry is removed.
-  // Cause: a store without news was taken for a store that was away.
-  it("are gone at once where the store was never away", async () => {
+describe("replicas whose entries expired", () => {
+  // Guards against a replica that gets new requests for seconds after it left.
+  // Nothing changes for longer than an outage would last; then a replica leaves
+  // and its entry is removed. A store without changes must not be taken for an
+  // unavailable one.
+  it("are removed at once if the store was never unavailable", async () => {
     const clock = VirtualClock.create();
-    const lapsed = RecentlyExpired.create(clock);
+    const expired = RecentlyExpired.create(clock);
     await clock.run(5_000);
-    const list = lapsed.apply(buildList(2, ["b"]), buildList(1, ["a", "b"]));
+    const list = expired.apply(buildList(2, ["b"]), buildList(1, ["a", "b"]));
     expect(listIds(list)).toEqual(["b"]);
     expect(list.revision).toBe(2);
   });
 
-  // Symptom: every request is refused after an outage of the store.
-  // Sequence: entries run out while nobody can renew them; the store returns.
-  // Cause: the first list after its return was taken at its word.
-  it("are kept for two seconds after the store was away", async () => {
+  // Guards against a pool whose requests are all refused after an outage of the
+  // store. Entries expire while they cannot be renewed, and the first list
+  // after the outage lacks these replicas.
+  it("are retained for two seconds after an outage of the store", async () => {
     const clock = VirtualClock.create();
-    const lapsed = RecentlyExpired.create(clock);
+    const expired = RecentlyExpired.create(clock);
     const directory = ReplicaDirectory.create();
     directory.apply(buildList(1, ["a", "b"]));
-    lapsed.noteReturn(4_000);
-    directory.apply(lapsed.apply(buildList(3, []), directory.getList()));
+    expired.noteStoreRegained(4_000);
+    directory.apply(expired.apply(buildList(3, []), directory.getList()));
     expect(listIds(directory.getList()).sort()).toEqual(["a", "b"]);
     await clock.run(500);
-    directory.apply(lapsed.apply(buildList(4, ["a"]), directory.getList()));
+    directory.apply(expired.apply(buildList(4, ["a"]), directory.getList()));
     expect(listIds(directory.getList()).sort()).toEqual(["a", "b"]);
     await clock.run(2_000);
-    // The store's revision is the same; its list counts as newer all the same.
-    directory.apply(lapsed.apply(buildList(4, ["a"]), directory.getList()));
+    // The revision of the store is unchanged, yet its list counts as newer.
+    directory.apply(expired.apply(buildList(4, ["a"]), directory.getList()));
     expect(listIds(directory.getList())).toEqual(["a"]);
   });
 
-  it("are not kept after a short silence", () => {
-    const lapsed = RecentlyExpired.create(VirtualClock.create());
-    lapsed.noteReturn(300);
-    const list = lapsed.apply(buildList(2, []), buildList(1, ["a"]));
+  it("are not retained after a short failure of the store", () => {
+    const expired = RecentlyExpired.create(VirtualClock.create());
+    expired.noteStoreRegained(300);
+    const list = expired.apply(buildList(2, []), buildList(1, ["a"]));
     expect(listIds(list)).toEqual([]);
   });
 });
--- a/test/process/seeded_fleet/store_unavailable_test.ts
+++ b/test/process/seeded_fleet/store_unavailable_test.ts
@@ -8,27 +8,27 @@
   type PublishedState,
   PublishedStore,
   StateFollower,
-  type StoreNews,
+  type StoreUpdate,
 } from "../../../src/process/seeded_fleet/index.ts";
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
-const AWAY_MS = 20_000;
+const OUTAGE_MS = 20_000;
 
-/** Answers nobody, and counts who tries. */
-class AwayStore extends PublishedStore {
+/** Rejects every call and counts the calls. */
+class UnavailableStore extends PublishedStore {
   calls = 0;
 
   override fetchState(): Promise<PublishedState> {
     return this.#refuse();
   }
 
-  override watch(): Promise<StoreNews> {
+  override watch(): Promise<StoreUpdate> {
     return this.#refuse();
   }
 
   #refuse(): Promise<never> {
     this.calls += 1;
-    return Promise.reject(new Error("The store is away"));
+    return Promise.reject(new Error("The store is unavailable"));
   }
 }
 
@@ -52,12 +52,12 @@
       listRevision: 0,
       isStoreLost: true,
       listAgeMs: -1,
-      nextMs: AWAY_MS,
+      nextMs: OUTAGE_MS,
       heard: otherVms,
       cores: 1,
     }, `10.0.1.${index}:1`);
   }
-  const store = new AwayStore();
+  const store = new UnavailableStore();
   let announced = 0;
   const follower = StateFollower.create({
     vm: toId<VmId>("vm"),
@@ -77,17 +77,16 @@
   return { clock, follower, store, countAnnounced: () => announced };
 }
 
-// Symptom: while the store is away a large fleet spends half of what the store
-// bears, and its links, on asking whether it is back.
-// Sequence: the store goes away; all views grow old; all VMs try.
-// Cause: each VM tried four times a second, and told all others at once that
-// the store had failed it.
-describe("a VM of a large fleet whose store is away", () => {
-  it("tries the more seldom the more others try", async () => {
+// Guards against a large fleet that uses half of the store's capacity, and much
+// of its own network, to find out whether the store is available again. All
+// views become stale, so all VMs retry. Without these rules each VM retries
+// four times a second and announces each failure to all others at once.
+describe("a VM of a large fleet while the store is unavailable", () => {
+  it("retries less often the more VMs there are", async () => {
     const counts: number[] = [];
     for (const otherVms of [7, 199]) {
       const { clock, follower, store } = startFollower(otherVms);
-      await clock.run(AWAY_MS);
+      await clock.run(OUTAGE_MS);
       follower.stop();
       counts.push(store.calls);
     }
@@ -97,9 +96,9 @@
     expect(large).toBeLessThan(10);
   });
 
-  it("tells nobody of it once all views are old", async () => {
+  it("does not announce the failure once all views are stale", async () => {
     const { clock, follower, countAnnounced } = startFollower(199);
-    await clock.run(AWAY_MS);
+    await clock.run(OUTAGE_MS);
     follower.stop();
     expect(countAnnounced()).toBe(0);
   });
