--- a/bench/naive/naive_router.ts
+++ b/bench/naive/naive_router.ts
@@ -70,7 +70,7 @@
       headers: { ...request.headers, "x-request-id": options.id },
       body: request.body,
       freshConnection: false,
-      limits: pool.timeouts,
+      timeouts: pool.timeouts,
       signal: options.sink.signal,
     });
     if (answer.status < FIRST_SERVER_ERROR) return answer;
--- a/bench/recovery/leaving.ts
+++ b/bench/recovery/leaving.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import { type Ended, sendChat } from "../../test/support/process_calls.ts";
+import { type CallResult, sendChat } from "../../test/support/process_calls.ts";
 import type { ProcessFleet } from "../../test/support/process_fleet.ts";
 import { runWithFleet } from "./bench_fleet.ts";
 import { computeSummary, type Summary } from "./summary.ts";
@@ -73,7 +73,7 @@
 }
 
 function startLoad(fleet: ProcessFleet) {
-  const sent: Promise<Ended>[] = [];
+  const sent: Promise<CallResult>[] = [];
   let isOver = false;
   const done = (async () => {
     for (let index = 0; !isOver; index++) {
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -122,7 +122,7 @@
   for (const core of [...upstreams.engines.values()].slice(0, 3)) {
     await clock.sleep(durationMs / 5);
     core.setCrashAfter(0);
-    void clock.sleep(DOWN_MS).then(() => core.startAgain());
+    void clock.sleep(DOWN_MS).then(() => core.restart());
   }
 }
 
--- a/bench/slopes/configuration_slopes.ts
+++ b/bench/slopes/configuration_slopes.ts
@@ -130,7 +130,7 @@
     const next = [...records];
     next[records.length - 1] = buildWorkspace(workspaces - 1, version);
     source.apply({ version, records: next, from: "service" });
-    steps.push(source.listSteps(digest));
+    steps.push(source.listDeltas(digest));
   }
   const store = ConfigurationStore.create(VirtualClock.create());
   return { store, records, steps };
--- a/bench/support/answer_pipe.ts
+++ b/bench/support/answer_pipe.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import { CallWatch } from "../../src/connection/call_watch.ts";
+import { CallTimer } from "../../src/connection/call_timer.ts";
 import {
   type UpstreamAnswer,
   type UpstreamCall,
@@ -29,7 +29,7 @@
 export class AnswerPipe implements AnswerWriter {
   readonly answer: Promise<UpstreamAnswer>;
   readonly #options: PipeOptions;
-  readonly #watch: CallWatch;
+  readonly #watch: CallTimer;
   readonly #encoder = new TextEncoder();
   readonly #onAbort = () => this.#endWith("aborted");
   #resolveHead: (answer: UpstreamAnswer) => void = () => {};
@@ -49,8 +49,8 @@
       this.#resolveHead = resolve;
       this.#rejectHead = reject;
     });
-    this.#watch = CallWatch.create(clock, call.limits, {
-      onPassed: (kind) => this.#endWith(kind),
+    this.#watch = CallTimer.create(clock, call.timeouts, {
+      onTimeout: (kind) => this.#endWith(kind),
     });
     call.signal.addEventListener("abort", this.#onAbort, { once: true });
   }
--- a/bench/support/virtual_upstreams.ts
+++ b/bench/support/virtual_upstreams.ts
@@ -172,7 +172,7 @@
     order: EngineCommand,
   ): Promise<boolean> {
     const core = await this.#fetchEngine(upstream);
-    return core.applyOrder(order);
+    return core.applyCommand(order);
   }
 
   override async copyCache(
--- a/demo/workload.ts
+++ b/demo/workload.ts
@@ -6,7 +6,7 @@
 import { SeededRandom } from "../src/process/random.ts";
 import { EngineAnswer } from "../standin/engine_answer.ts";
 import { formatChatPrompt } from "../standin/engine_body.ts";
-import { formatLookup } from "../standin/service_core.ts";
+import { buildLookupBody } from "../standin/service_core.ts";
 import {
   type Example,
   formatDemoKey,
@@ -172,7 +172,7 @@
     const base = `/services/${this.#service}`;
     if (profile.kind === "lookup") {
       const path = `/lookup/${profile.className}-${number}`;
-      const body = JSON.stringify(formatLookup(path));
+      const body = JSON.stringify(buildLookupBody(path));
       return {
         ...frame,
         method: "GET",
--- a/src/connection/answer_body.ts
+++ b/src/connection/answer_body.ts
@@ -5,11 +5,11 @@
  */
 import type { IncomingMessage } from "node:http";
 import { toError } from "../errors.ts";
-import type { CallWatch } from "./call_watch.ts";
+import type { CallTimer } from "./call_timer.ts";
 
 /** What a body needs from its call. */
 export interface AnswerBodyOptions {
-  watch: CallWatch;
+  watch: CallTimer;
   /** The error to throw, given what the connection reported. */
   createError: (cause: Error | undefined) => Error;
   /** Called when the reader leaves before the end. */
--- a/src/connection/whole_call.ts
+++ b/src/connection/buffered_call.ts
@@ -10,7 +10,7 @@
 const NO_BODY = new Uint8Array();
 
 /** One call with its bounds. */
-export interface WholeCall {
+export interface BufferedCall {
   /** Names the call in errors. */
   step: string;
   method: string;
@@ -18,12 +18,12 @@
   headers?: Record<string, string>;
   body?: Uint8Array;
   /** Milliseconds for the whole call. */
-  limitMs: number;
+  timeoutMs: number;
   maxBytes: number;
 }
 
 /** A status with its whole body. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   status: number;
   body: Buffer;
 }
@@ -35,11 +35,11 @@
 }
 
 /** Makes a call and reads its answer; rejects `StepError`. */
-export async function fetchWhole(
+export async function fetchBuffered(
   transport: UpstreamTransport,
   upstream: VmId,
-  call: WholeCall,
-): Promise<WholeAnswer> {
+  call: BufferedCall,
+): Promise<BufferedAnswer> {
   const answer = await transport.send({
     upstream,
     method: call.method,
@@ -47,10 +47,10 @@
     headers: call.headers ?? {},
     body: call.body ?? NO_BODY,
     freshConnection: false,
-    limits: {
-      firstByteMs: call.limitMs,
-      betweenBytesMs: call.limitMs,
-      totalMs: call.limitMs,
+    timeouts: {
+      firstByteMs: call.timeoutMs,
+      betweenBytesMs: call.timeoutMs,
+      totalMs: call.timeoutMs,
     },
     signal: new AbortController().signal,
   });
@@ -70,8 +70,8 @@
 }
 
 /** Reads a report by `parse`; throws `StepError` for a bad one. */
-export function readReport<T>(
-  answer: WholeAnswer,
+export function parseReport<T>(
+  answer: BufferedAnswer,
   options: CallPlace & { parse: (value: unknown) => T },
 ): T {
   checkStatus(answer, options);
@@ -86,7 +86,7 @@
 }
 
 /** Throws `StepError` for a status that is no success. */
-export function checkStatus(answer: WholeAnswer, place: CallPlace): void {
+export function checkStatus(answer: BufferedAnswer, place: CallPlace): void {
   if (answer.status >= 200 && answer.status < 300) return;
   throw new StepError(
     { step: place.step, peer: place.upstream },
--- a/src/connection/call_watch.ts
+++ b/src/connection/call_timer.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { CancelTimer, Clock } from "../process/clock.ts";
-import type { CallLimits, UpstreamErrorKind } from "./upstream_transport.ts";
+import type { CallTimeouts, UpstreamErrorKind } from "./upstream_transport.ts";
 
 /** A check that runs so much later than it was set for tells of a pause. */
 const LATE_MS = 100;
@@ -22,10 +22,10 @@
  * when it fires, so that a byte costs no timer. Time counts against the
  * upstream only while its bytes are waited for: a slow caller is not its fault.
  */
-export class CallWatch {
+export class CallTimer {
   readonly #clock: Clock;
-  readonly #limits: CallLimits;
-  readonly #onPassed: (kind: LimitKind) => void;
+  readonly #limits: CallTimeouts;
+  readonly #onTimeout: (kind: LimitKind) => void;
   readonly #endsAt: number;
   #waitingSince: number | undefined;
   /** Until then silence was allowed; counts anew from there. */
@@ -36,12 +36,12 @@
 
   constructor(
     clock: Clock,
-    limits: CallLimits,
-    options: { onPassed: (kind: LimitKind) => void },
+    limits: CallTimeouts,
+    options: { onTimeout: (kind: LimitKind) => void },
   ) {
     this.#clock = clock;
     this.#limits = limits;
-    this.#onPassed = options.onPassed;
+    this.#onTimeout = options.onTimeout;
     this.#endsAt = clock.now() + limits.totalMs;
     this.#waitingSince = clock.now();
     this.#check();
@@ -49,10 +49,10 @@
 
   static create(
     clock: Clock,
-    limits: CallLimits,
-    options: { onPassed: (kind: LimitKind) => void },
-  ): CallWatch {
-    return new CallWatch(clock, limits, options);
+    limits: CallTimeouts,
+    options: { onTimeout: (kind: LimitKind) => void },
+  ): CallTimer {
+    return new CallTimer(clock, limits, options);
   }
 
   /** The reader waits for the next byte from now on. */
@@ -84,7 +84,7 @@
       return;
     }
     if (now >= this.#endsAt) {
-      this.#onPassed("total_timeout");
+      this.#onTimeout("total_timeout");
       return;
     }
     const limitMs = this.#hasByte
@@ -93,13 +93,13 @@
     // The timer is set by the same sum: another one could round to a moment
     // just after it, and the check would be set to now again without end.
     const passesAt = this.#computeSilentSince(now) + limitMs;
-    if (now >= passesAt && this.#limits.mayWaitOn?.() === true) {
+    if (now >= passesAt && this.#limits.canExtendTimeout?.() === true) {
       this.#allowedUntil = now;
       this.#startTimer(Math.min(this.#endsAt, now + limitMs), now);
       return;
     }
     if (now >= passesAt) {
-      this.#onPassed(
+      this.#onTimeout(
         this.#hasByte ? "between_bytes_timeout" : "first_byte_timeout",
       );
       return;
--- a/src/connection/http_transport.ts
+++ b/src/connection/http_transport.ts
@@ -30,8 +30,13 @@
   UpstreamCall,
 } from "./upstream_transport.ts";
 import { UpstreamError, UpstreamTransport } from "./upstream_transport.ts";
-import type { WholeAnswer, WholeCall } from "./whole_call.ts";
-import { checkStatus, fetchWhole, readJson, readReport } from "./whole_call.ts";
+import type { BufferedAnswer, BufferedCall } from "./buffered_call.ts";
+import {
+  checkStatus,
+  fetchBuffered,
+  parseReport,
+  readJson,
+} from "./buffered_call.ts";
 
 const REPORT_LIMIT_MS = 2_000;
 const ORDER_LIMIT_MS = 5_000;
@@ -52,12 +57,12 @@
   findAddress: (vm: VmId) => SocketAddress | undefined;
   tls?: ClientTls | undefined;
   /** A connection that takes longer fails; in milliseconds. */
-  connectLimitMs?: number;
+  connectTimeoutMs?: number;
   /**
    * Whether answers may end with their connection. One whose end comes as a
    * reset still counts as broken.
    */
-  allowsUndelimited?: boolean;
+  allowsCloseDelimited?: boolean;
 }
 
 /** Reaches upstreams through agents that keep connections open. */
@@ -93,7 +98,7 @@
         endpoint,
         agent: call.freshConnection ? this.#createAgent({}) : agent,
         tls: this.#options.tls,
-        allowsUndelimited: this.#options.allowsUndelimited ?? false,
+        allowsUndelimited: this.#options.allowsCloseDelimited ?? false,
         onSilent: () => closeIdleConnections(agent),
       });
     } catch (thrown) {
@@ -129,10 +134,10 @@
       step: "fetch_load",
       method: "GET",
       path: "/v1/load",
-      limitMs: REPORT_LIMIT_MS,
+      timeoutMs: REPORT_LIMIT_MS,
       maxBytes: MAX_REPORT_BYTES,
     });
-    return readReport(answer, {
+    return parseReport(answer, {
       step: "fetch_load",
       upstream,
       parse: parseLoadReport,
@@ -147,10 +152,10 @@
       step: "fetch_cache_events",
       method: "GET",
       path: `/v1/cache/events?after=${after}`,
-      limitMs: REPORT_LIMIT_MS,
+      timeoutMs: REPORT_LIMIT_MS,
       maxBytes: MAX_REPORT_BYTES,
     });
-    return readReport(answer, {
+    return parseReport(answer, {
       step: "fetch_cache_events",
       upstream,
       parse: parseCacheEvents,
@@ -164,7 +169,7 @@
       path: "/v1/orders",
       headers: { "content-type": "application/json" },
       body: Buffer.from(formatCommand(order)),
-      limitMs: ORDER_LIMIT_MS,
+      timeoutMs: ORDER_LIMIT_MS,
       maxBytes: MAX_REPORT_BYTES,
     });
     if (answer.status === CONFLICT) return false;
@@ -183,7 +188,7 @@
       step: "export_cache",
       method: "GET",
       path: `/v1/cache/export?prefixes=${query}`,
-      limitMs: CACHE_COPY_LIMIT_MS,
+      timeoutMs: CACHE_COPY_LIMIT_MS,
       maxBytes: MAX_CACHE_BYTES,
     });
     checkStatus(exported, { step: "export_cache", upstream: from });
@@ -193,7 +198,7 @@
       path: "/v1/cache/import",
       headers: { "content-type": "application/octet-stream" },
       body: exported.body,
-      limitMs: CACHE_COPY_LIMIT_MS,
+      timeoutMs: CACHE_COPY_LIMIT_MS,
       maxBytes: MAX_REPORT_BYTES,
     });
     checkStatus(imported, { step: "import_cache", upstream: to });
@@ -215,12 +220,12 @@
   }
 
   #createAgent(agent: http.AgentOptions): http.Agent {
-    const { clock, tls, connectLimitMs } = this.#options;
+    const { clock, tls, connectTimeoutMs: connectLimitMs } = this.#options;
     return createUpstreamAgent({ clock, tls, agent, connectLimitMs });
   }
 
-  #fetchWhole(upstream: VmId, call: WholeCall): Promise<WholeAnswer> {
-    return fetchWhole(this, upstream, call);
+  #fetchWhole(upstream: VmId, call: BufferedCall): Promise<BufferedAnswer> {
+    return fetchBuffered(this, upstream, call);
   }
 
   #noteFailure(call: UpstreamCall, thrown: unknown): void {
--- a/src/connection/index.ts
+++ b/src/connection/index.ts
@@ -8,14 +8,14 @@
 export { OperatorApi, OperatorListener } from "./operator_listener.ts";
 export type { HealthAnswer } from "./operator_listener.ts";
 export { TrpcPeerDirectory } from "./peer_client.ts";
-export { PeerListener } from "./peer_server.ts";
+export { PeerListener } from "./peer_listener.ts";
 export { buildRefusal, getRefusalKind } from "./refusal_body.ts";
 export { parseEvents, SseFramer } from "./sse_frames.ts";
 export type { ClientTls, ServerTls } from "./tls_material.ts";
 
 export { UpstreamError, UpstreamTransport } from "./upstream_transport.ts";
 export type {
-  EngineCommand as EngineOrder,
+  EngineCommand,
   LoadReport,
   UpstreamAnswer,
   UpstreamCall,
--- a/src/connection/operator_listener.ts
+++ b/src/connection/operator_listener.ts
@@ -15,7 +15,7 @@
 import type { ServerLimits } from "./http_server.ts";
 import { buildRefusal } from "./refusal_body.ts";
 import { readRequestBody } from "./request_body.ts";
-import { readBearerToken, SharedSecret } from "./secret.ts";
+import { readBearerToken, SharedSecret } from "./shared_secret.ts";
 import type { ServerTls } from "./tls_material.ts";
 
 const MAX_BODY_BYTES = 65_536;
@@ -48,7 +48,7 @@
   /** `POST /v1/drain`: begins the drain and gives its state. */
   abstract startDrain(): Promise<object>;
   /** `GET /v1/requests/ID`: undefined where nothing is known of the id. */
-  abstract findFate(requestId: RequestId): Promise<object | undefined>;
+  abstract findRequestStatus(requestId: RequestId): Promise<object | undefined>;
   /** `GET /v1/burn`: the figures for the report on service-level burn. */
   abstract collectBurn(query: URLSearchParams): Promise<object>;
   /** `GET /metrics`: the Prometheus text format. */
@@ -145,7 +145,9 @@
   }
 
   async #answerFate(text: string): Promise<OperatorAnswer> {
-    const fate = await this.#options.api.findFate(toId<RequestId>(text));
+    const fate = await this.#options.api.findRequestStatus(
+      toId<RequestId>(text),
+    );
     if (fate === undefined) {
       throw createRefusal("not_found", "Nothing is known of this request id");
     }
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -17,7 +17,7 @@
 import type { PeerCallContext } from "./peer_link.ts";
 import { createPeerLink, PeerDeadlineError } from "./peer_link.ts";
 import type { PeerRouter } from "./peer_router.ts";
-import { PEER_SECRET_HEADER } from "./peer_server.ts";
+import { PEER_SECRET_HEADER } from "./peer_listener.ts";
 import type { ClientTls } from "./tls_material.ts";
 import { buildTlsOptions } from "./upstream_call.ts";
 
--- a/src/connection/peer_server.ts
+++ b/src/connection/peer_listener.ts
@@ -11,7 +11,7 @@
 import type { ServerLimits } from "./http_server.ts";
 import { answerPeerCall, isPeerProcedure } from "./peer_answer.ts";
 import { readRequestBody } from "./request_body.ts";
-import { SharedSecret } from "./secret.ts";
+import { SharedSecret } from "./shared_secret.ts";
 import type { ServerTls } from "./tls_material.ts";
 
 /** The header that carries the fleet's shared secret. */
--- a/src/connection/answering_listener.ts
+++ b/src/connection/simple_listener.ts
@@ -17,7 +17,7 @@
 };
 
 /** A whole answer. */
-export interface SmallAnswer {
+export interface SimpleAnswer {
   status: number;
   type: string;
   body: string;
@@ -28,10 +28,10 @@
 export type BuildAnswer = (
   method: string,
   url: URL,
-) => SmallAnswer | Promise<SmallAnswer>;
+) => SimpleAnswer | Promise<SimpleAnswer>;
 
 /** Answers by a function; bodies of calls are ignored. */
-export class AnsweringListener extends HttpListener {
+export class SimpleListener extends HttpListener {
   readonly #buildAnswer: BuildAnswer;
 
   constructor(options: { name: string; log: Log; buildAnswer: BuildAnswer }) {
@@ -41,8 +41,8 @@
 
   static create(
     options: { name: string; log: Log; buildAnswer: BuildAnswer },
-  ): AnsweringListener {
-    return new AnsweringListener(options);
+  ): SimpleListener {
+    return new SimpleListener(options);
   }
 
   protected override async handle(
@@ -62,7 +62,7 @@
 }
 
 /** An answer in JSON. */
-export function buildJsonAnswer(status: number, value: unknown): SmallAnswer {
+export function buildJsonAnswer(status: number, value: unknown): SimpleAnswer {
   return {
     status,
     type: "application/json",
--- a/src/connection/upstream_call.ts
+++ b/src/connection/upstream_call.ts
@@ -10,7 +10,7 @@
 import { isIP, type Socket } from "node:net";
 import type { Clock } from "../process/clock.ts";
 import { AnswerBody } from "./answer_body.ts";
-import { CallWatch } from "./call_watch.ts";
+import { CallTimer } from "./call_timer.ts";
 import { copyEndToEndHeaders } from "./headers.ts";
 import type { ClientTls } from "./tls_material.ts";
 import type {
@@ -46,7 +46,7 @@
   readonly #call: UpstreamCall;
   readonly #route: CallRoute;
   #request: ClientRequest | undefined;
-  #watch: CallWatch | undefined;
+  #watch: CallTimer | undefined;
   /** The first reason for which this side gave the call up. */
   #given: UpstreamErrorKind | undefined;
   #mayHaveRun = false;
@@ -69,8 +69,8 @@
       const request = this.#openRequest();
       this.#request = request;
       this.#call.signal.addEventListener("abort", this.#onAbort);
-      this.#watch = CallWatch.create(this.#route.clock, this.#call.limits, {
-        onPassed: (kind) => this.#cancel(kind),
+      this.#watch = CallTimer.create(this.#route.clock, this.#call.timeouts, {
+        onTimeout: (kind) => this.#cancel(kind),
       });
       request.on("socket", () => this.#handleSocket());
       request.on("finish", () => this.#isSent = true);
--- a/src/connection/upstream_transport.ts
+++ b/src/connection/upstream_transport.ts
@@ -8,7 +8,7 @@
 import type { VmId } from "../ids.ts";
 
 /** Time limits of one call, in milliseconds. */
-export interface CallLimits {
+export interface CallTimeouts {
   firstByteMs: number;
   betweenBytesMs: number;
   totalMs: number;
@@ -16,7 +16,7 @@
    * Asked when a limit on silence has passed: true grants the same time again.
    * The total limit holds whatever it says.
    */
-  mayWaitOn?: () => boolean;
+  canExtendTimeout?: () => boolean;
 }
 
 /** One call to one upstream. */
@@ -35,7 +35,7 @@
    * already, and then nobody can tell whether the request was read.
    */
   freshConnection: boolean;
-  limits: CallLimits;
+  timeouts: CallTimeouts;
   /** Aborting cancels the work at the upstream. */
   signal: AbortSignal;
   /**
--- a/src/process/burn_stats.ts
+++ b/src/process/burn_stats.ts
@@ -7,7 +7,7 @@
  * @module
  */
 import { z } from "zod";
-import { compareTexts } from "../version/record_problem.ts";
+import { compareStrings } from "../version/record_problem.ts";
 import { mergeEncoded } from "./latency_histogram.ts";
 
 /** Width of the buckets of the last hour. */
@@ -222,7 +222,7 @@
 /** Orders causes by how much they burn, the worst first. */
 export function compareCauses(left: BurnCause, right: BurnCause): number {
   return right.lastHour - left.lastHour || right.total - left.total ||
-    compareTexts(left.step, right.step);
+    compareStrings(left.step, right.step);
 }
 
 function computeSum<T>(items: readonly T[], read: (item: T) => number): number {
--- a/src/process/configuration_steps.ts
+++ b/src/process/configuration_deltas.ts
@@ -7,7 +7,7 @@
  *
  * @module
  */
-import type { ConfigurationStep, RecordSplice } from "./peer_api.ts";
+import type { ConfigurationDelta, RecordSplice } from "./peer_api.ts";
 
 /** Steps kept, and records in all of them. */
 const MAX_STEPS = 64;
@@ -23,11 +23,11 @@
 }
 
 /** The latest steps, oldest first, each from the digest that it needs. */
-export class StepHistory {
-  #steps: ConfigurationStep[] = [];
+export class DeltaHistory {
+  #steps: ConfigurationDelta[] = [];
 
-  static create(): StepHistory {
-    return new StepHistory();
+  static create(): DeltaHistory {
+    return new DeltaHistory();
   }
 
   /** Notes that `to` replaced `from`. */
@@ -45,7 +45,7 @@
   }
 
   /** The steps from `digest` to the newest content, if all are held. */
-  listFrom(digest: string): ConfigurationStep[] | undefined {
+  listFrom(digest: string): ConfigurationDelta[] | undefined {
     // The latest one counts: contents of one version can go to and fro.
     const first = this.#steps.findLastIndex((step) => step.from === digest);
     return first < 0 ? undefined : this.#steps.slice(first);
@@ -68,14 +68,14 @@
  * where the steps do not fit what is there. They come from another VM, so
  * nothing of their shape is taken for granted.
  */
-export function applySteps(
+export function applyDeltas(
   content: Content,
   steps: unknown,
 ): Content | undefined {
   if (!Array.isArray(steps) || steps.length === 0) return undefined;
   let { digest } = content;
   let records = [...content.records];
-  for (const step of steps as Partial<ConfigurationStep>[]) {
+  for (const step of steps as Partial<ConfigurationDelta>[]) {
     if (step?.from !== digest || typeof step.to !== "string") return undefined;
     const next = applySplices(records, step.splices);
     if (next === undefined) return undefined;
--- a/src/process/configuration_follower.ts
+++ b/src/process/configuration_follower.ts
@@ -182,7 +182,7 @@
     const isNewer = version > call.after || isConflict;
     const listRevision = this.#membership.getList().revision;
     const steps = isNewer && call.takesSteps === true
-      ? this.#store.listSteps(call.digest ?? "")
+      ? this.#store.listDeltas(call.digest ?? "")
       : undefined;
     return {
       version,
--- a/src/process/configuration_groups.ts
+++ b/src/process/configuration_groups.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { RecordIndex } from "../version/index.ts";
-import { compareTexts } from "../version/record_problem.ts";
+import { compareStrings } from "../version/record_problem.ts";
 import type { ConfigurationSource } from "./configuration_source.ts";
 
 interface KnownGroup {
@@ -27,7 +27,7 @@
 
   /** All records of `index`, in an order that depends on it alone. */
   async fetchRecords(index: RecordIndex): Promise<unknown[]> {
-    const names = [...index.groups.keys()].sort(compareTexts);
+    const names = [...index.groups.keys()].sort(compareStrings);
     const groups = new Map<string, KnownGroup>();
     for (const name of names) {
       const version = index.groups.get(name)!;
--- a/src/process/configuration_puller.ts
+++ b/src/process/configuration_puller.ts
@@ -97,6 +97,6 @@
     const listed = membership.listEntryVms().map((vm) => vm.id);
     const others = new Set([...seeds, ...listed]);
     others.delete(environment.vm);
-    return environment.random.pickSome([...others], FIRST_PEERS);
+    return environment.random.pickSample([...others], FIRST_PEERS);
   }
 }
--- a/src/process/configuration_store.ts
+++ b/src/process/configuration_store.ts
@@ -9,11 +9,11 @@
 import type { Clock } from "./clock.ts";
 import { RecordMemory } from "./configuration_records.ts";
 import {
-  applySteps,
+  applyDeltas,
+  DeltaHistory,
   mergeRecords,
-  StepHistory,
-} from "./configuration_steps.ts";
-import type { ConfigurationStep } from "./peer_api.ts";
+} from "./configuration_deltas.ts";
+import type { ConfigurationDelta } from "./peer_api.ts";
 
 const MAX_HISTORY = 32;
 const MAX_REJECTED = 32;
@@ -75,7 +75,7 @@
  */
 export class ConfigurationStore {
   readonly #clock: Clock;
-  readonly #steps = StepHistory.create();
+  readonly #steps = DeltaHistory.create();
   readonly #memory = RecordMemory.create();
   #accepted: Accepted | undefined;
   #history: StoredEntry[] = [];
@@ -120,7 +120,7 @@
   }
 
   /** The steps from the content of `digest` to the one in force. */
-  listSteps(digest: string): ConfigurationStep[] | undefined {
+  listDeltas(digest: string): ConfigurationDelta[] | undefined {
     return this.#steps.listFrom(digest);
   }
 
@@ -130,7 +130,7 @@
    */
   buildRecords(steps: unknown): unknown[] | undefined {
     if (this.#accepted === undefined) return undefined;
-    const content = applySteps(this.#accepted, steps);
+    const content = applyDeltas(this.#accepted, steps);
     if (content === undefined) return undefined;
     const isWhole =
       this.#memory.computeDigest(content.records) === content.digest;
--- a/src/process/engine_control/model_placement.ts
+++ b/src/process/engine_control/model_placement.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { EngineOrder, LoadReport } from "../../connection/index.ts";
+import type { EngineCommand, LoadReport } from "../../connection/index.ts";
 import type { VmId } from "../../ids.ts";
 import type { PoolModel, UpstreamPool } from "../../version/index.ts";
 import { computeRendezvousOrder } from "../rendezvous.ts";
@@ -21,7 +21,7 @@
 /** A command that brings an upstream closer to its desired state. */
 export interface PlannedCommand {
   upstream: VmId;
-  command: Omit<EngineOrder, "fencing">;
+  command: Omit<EngineCommand, "fencing">;
 }
 
 /**
--- a/src/process/fleet_operator.ts
+++ b/src/process/fleet_operator.ts
@@ -112,7 +112,9 @@
     });
   }
 
-  override async findFate(requestId: RequestId): Promise<object | undefined> {
+  override async findRequestStatus(
+    requestId: RequestId,
+  ): Promise<object | undefined> {
     try {
       const { fate } = await this.#runtime.fateFinder.findStatus(requestId);
       return fate && formatStatusPage(fate);
--- a/src/process/member_rotation.ts
+++ b/src/process/member_rotation.ts
@@ -28,7 +28,7 @@
     const present = new Set(members);
     this.#round = this.#round.filter((vm) => present.has(vm));
     if (this.#round.length === 0) {
-      this.#round = this.#random.pickOrder(members);
+      this.#round = this.#random.toShuffled(members);
     }
     return this.#round.pop();
   }
--- a/src/process/owned_placement.ts
+++ b/src/process/owned_placement.ts
@@ -9,10 +9,10 @@
 import type { Log } from "./log.ts";
 import type { Random } from "./random.ts";
 import {
-  type PlacementRole,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
+  type PlacementRole,
   type PlacementState,
   ReplicaChooser,
   type ReplicaDirectory,
--- a/src/process/peer_api.ts
+++ b/src/process/peer_api.ts
@@ -194,7 +194,7 @@
 }
 
 /** Changes that turn the records of one digest into those of another. */
-export interface ConfigurationStep {
+export interface ConfigurationDelta {
   from: string;
   to: string;
   /** Applied in order; each index counts after the splices before it. */
@@ -209,7 +209,7 @@
   /**
    * Steps from the caller's configuration, oldest first, if it accepts them.
    */
-  steps?: ConfigurationStep[];
+  steps?: ConfigurationDelta[];
   list: unknown | undefined;
 }
 
--- a/src/process/prober.ts
+++ b/src/process/prober.ts
@@ -159,7 +159,7 @@
   async #probeIndirect(target: VmId): Promise<boolean> {
     const { clock, peers } = this.#environment;
     const others = this.#listMembers().filter((vm) => vm !== target);
-    const helpers = this.#environment.random.pickSome(
+    const helpers = this.#environment.random.pickSample(
       others,
       INDIRECT_PROBE_COUNT,
     );
@@ -278,7 +278,10 @@
   #probeSome(count: number): void {
     if (this.#stopped.signal.aborted) return;
     for (
-      const vm of this.#environment.random.pickSome(this.#listMembers(), count)
+      const vm of this.#environment.random.pickSample(
+        this.#listMembers(),
+        count,
+      )
     ) {
       void this.#probeDirect(vm);
     }
@@ -288,7 +291,7 @@
   async #updateView(): Promise<void> {
     const pauseCount = this.#pauseCount;
     for (let round = 0; round < REFRESH_ROUNDS; round += 1) {
-      const others = this.#environment.random.pickSome(
+      const others = this.#environment.random.pickSample(
         this.#listOthers(),
         REFRESH_PROBES,
       );
--- a/src/process/quarantine/suspect_gossip.ts
+++ b/src/process/quarantine/suspect_gossip.ts
@@ -71,7 +71,7 @@
     while (!signal.aborted) {
       await clock.sleep(GOSSIP_INTERVAL_MS, signal);
       const entries = signal.aborted ? [] : this.listTopSuspects();
-      if (entries.length > 0) send(random.pickSome(listPeers(), 1), entries);
+      if (entries.length > 0) send(random.pickSample(listPeers(), 1), entries);
     }
   }
 }
--- a/src/process/random.ts
+++ b/src/process/random.ts
@@ -27,7 +27,7 @@
   }
 
   /** `items` in an order that is as likely as any other. */
-  pickOrder<T>(items: readonly T[]): T[] {
+  toShuffled<T>(items: readonly T[]): T[] {
     const shuffled = [...items];
     for (let last = shuffled.length - 1; last > 0; last--) {
       const index = this.nextInt(last + 1);
@@ -39,7 +39,7 @@
   }
 
   /** `count` of `items`, or all where there are fewer, each once. */
-  pickSome<T>(items: readonly T[], count: number): T[] {
+  pickSample<T>(items: readonly T[], count: number): T[] {
     const left = [...items];
     const picked: T[] = [];
     while (picked.length < count && left.length > 0) {
--- a/src/process/bounded_log.ts
+++ b/src/process/rate_limited_log.ts
@@ -20,7 +20,7 @@
 const NOTABLE_LINES = 200;
 
 /** Passes events on, up to a number of lines a second. */
-export class BoundedLog extends Log {
+export class RateLimitedLog extends Log {
   readonly #log: Log;
   readonly #clock: Clock;
   #windowStart = -Infinity;
@@ -35,8 +35,8 @@
     this.#clock = clock;
   }
 
-  static create(log: Log, clock: Clock): BoundedLog {
-    return new BoundedLog(log, clock);
+  static create(log: Log, clock: Clock): RateLimitedLog {
+    return new RateLimitedLog(log, clock);
   }
 
   /** Lines left out since the start. */
--- a/src/process/refusing_vm.ts
+++ b/src/process/refusing_vm.ts
@@ -8,9 +8,9 @@
  * @module
  */
 import {
-  AnsweringListener,
   buildJsonAnswer,
-} from "../connection/answering_listener.ts";
+  SimpleListener,
+} from "../connection/simple_listener.ts";
 import type { Endpoint } from "../connection/endpoint.ts";
 import { toError } from "../errors.ts";
 import type { Log } from "./log.ts";
@@ -25,7 +25,7 @@
 
 /** Answers every request with 503 without reading further. */
 export class RefusingVm {
-  readonly #listeners: AnsweringListener[] = [];
+  readonly #listeners: SimpleListener[] = [];
   readonly #log: Log;
 
   constructor(log: Log) {
@@ -53,7 +53,7 @@
   }
 
   async #startListener(endpoint: Endpoint): Promise<void> {
-    const listener = AnsweringListener.create({
+    const listener = SimpleListener.create({
       name: "refusing",
       log: this.#log,
       buildAnswer: () => ({
--- a/src/process/routed_fleet.ts
+++ b/src/process/routed_fleet.ts
@@ -15,10 +15,10 @@
 import type { Log } from "./log.ts";
 import { OwnedPlacement } from "./owned_placement.ts";
 import {
-  type PlacementRole,
   type Locality,
   type OwnerDecision,
   type PlacementRequest,
+  type PlacementRole,
   type PlacementState,
   PrefixPriming,
   type ReplicaDirectory,
--- a/src/process/routed_vm.ts
+++ b/src/process/routed_vm.ts
@@ -5,7 +5,7 @@
  * @module
  */
 import process from "node:process";
-import type { AnsweringListener } from "../connection/answering_listener.ts";
+import type { SimpleListener } from "../connection/simple_listener.ts";
 import { CallerListener } from "../connection/caller_listener.ts";
 import { parseEndpoint } from "../connection/endpoint.ts";
 import {
@@ -64,7 +64,7 @@
 export interface RoutedVmOptions {
   settings: RoutedSettings;
   log: Log;
-  dialect: HeaderCodec;
+  headerCodec: HeaderCodec;
   createStore: (transport: HttpUpstreamTransport) => PublishedStore;
   /** Fetches from a model replica which parts of prompts it has cached. */
   fetchCachedParts: (
@@ -96,7 +96,7 @@
   readonly #quarantine: RequestQuarantine;
   readonly #handler: RoutedHandler;
   readonly #callers: CallerListener;
-  readonly #state: AnsweringListener;
+  readonly #state: SimpleListener;
   #settings: RoutedSettings;
   #fleet: RoutedFleet | undefined;
   #inFlight = 0;
@@ -118,7 +118,7 @@
       maxBytes: REQUEST_STATUS_BYTES,
     });
     this.#upstreams = this.#createTransport((vm) => this.replicas.find(vm), {
-      allowsUndelimited: true,
+      allowsCloseDelimited: true,
     });
     this.#locality = Locality.create(options.settings.regions);
     this.#placement = createRoutedPlacement({
@@ -213,7 +213,7 @@
       entries.push({ dataCentre, callers: listeners.callers });
     }
     const near = listNearAddresses(entries, region, this.#locality);
-    return this.#random.pickOrder(near);
+    return this.#random.toShuffled(near);
   }
 
   override async handle(
@@ -279,7 +279,7 @@
         countLiveVms: () => 1 + this.#listLive().length,
       }),
       getSnapshot: () => this.getSnapshot(),
-      headerCodec: this.#options.dialect,
+      headerCodec: this.#options.headerCodec,
     });
   }
 
@@ -347,13 +347,13 @@
 
   #createTransport(
     findAddress: HttpTransportOptions["findAddress"],
-    options: { allowsUndelimited?: boolean } = {},
+    options: { allowsCloseDelimited?: boolean } = {},
   ): HttpUpstreamTransport {
     return HttpUpstreamTransport.create({
       clock: this.#clock,
       log: this.#log,
       findAddress,
-      connectLimitMs: CONNECT_TIMEOUT_MS,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
       ...options,
     });
   }
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -76,7 +76,7 @@
   readonly leases: LeaseClient;
   readonly limits: WorkspaceLimits;
   readonly claims: ProcessExecutionClaims;
-  readonly fates: RequestStatusStore;
+  readonly requestStatuses: RequestStatusStore;
   readonly quarantine: RequestQuarantine;
   readonly #suspects: SuspectGossip<VmId>;
   readonly fateFinder: RequestStatusFinder;
@@ -138,7 +138,7 @@
       getLocal,
     });
     this.claims = ProcessExecutionClaims.create(environment);
-    this.fates = RequestStatusStore.create();
+    this.requestStatuses = RequestStatusStore.create();
     this.quarantine = RequestQuarantine.create({
       clock: environment.clock,
       log: environment.log,
@@ -157,7 +157,7 @@
     );
     this.fateFinder = RequestStatusFinder.create({
       environment,
-      requestStatuses: this.fates,
+      requestStatuses: this.requestStatuses,
       answers: this.#answers,
       claims: this.claims,
     });
@@ -278,7 +278,7 @@
       leases: this.leases,
       limits: this.limits,
       claims: this.claims,
-      requestStatuses: this.fates,
+      requestStatuses: this.requestStatuses,
       retryBudget: WindowRetryBudget.create({
         clock: environment.clock,
         getShare: () => this.getSnapshot()?.policy.retryShare ?? NO_RETRIES,
--- a/src/process/seeded_fleet/heartbeat_targets.ts
+++ b/src/process/seeded_fleet/heartbeat_targets.ts
@@ -62,7 +62,7 @@
 
   /** Some live peers, for changes that other VMs announce as well. */
   pickSome(): Endpoint[] {
-    return this.#options.random.pickSome(this.listLive(), STATE_UPDATE_PEERS);
+    return this.#options.random.pickSample(this.listLive(), STATE_UPDATE_PEERS);
   }
 
   /**
@@ -76,7 +76,7 @@
     const { peers, random } = this.#options;
     if (this.#round.length === 0) {
       const ids = peers.listLive().map(({ heartbeat }) => heartbeat.vm);
-      this.#round = random.pickOrder(ids);
+      this.#round = random.toShuffled(ids);
     }
     return this.#round.splice(0, count).map((vm) => peers.find(vm))
       .filter((peer) => peer !== undefined && peer.isLive)
@@ -94,7 +94,7 @@
       now - this.#startedAt < STARTUP_RETRY_MS;
     if (!isStarting && now - this.#lastRetryAt < RETRY_INTERVAL_MS) return [];
     this.#lastRetryAt = now;
-    const silent = random.pickSome(peers.listSilent(), MAX_RETRIED_PEERS)
+    const silent = random.pickSample(peers.listSilent(), MAX_RETRIED_PEERS)
       .map((peer) => peer.endpoint);
     const live = new Set([...this.listLive(), self]);
     const seeds = getSeeds().filter((each) => !live.has(each));
--- a/src/process/seeded_fleet/index.ts
+++ b/src/process/seeded_fleet/index.ts
@@ -18,7 +18,6 @@
   findPartition,
   isSmallFleet,
   listPartitionOwners,
-  listPartitionOwners as listOwnersOf,
   listPartitions,
   PoolOwners,
 } from "./pool_owners.ts";
@@ -26,9 +25,5 @@
 export { PlacementRequester } from "./placement_requester.ts";
 export { PeerCalls } from "./peer_calls.ts";
 export { PublishedStore } from "./published_store.ts";
-export type {
-  PublishedState,
-  StoreUpdate,
-  StoreUpdate as StoreNews,
-} from "./published_store.ts";
+export type { PublishedState, StoreUpdate } from "./published_store.ts";
 export { StateFollower } from "./state_follower.ts";
--- a/src/process/seeded_fleet/peer_calls.ts
+++ b/src/process/seeded_fleet/peer_calls.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { UpstreamTransport } from "../../connection/upstream_transport.ts";
-import { fetchWhole, readReport } from "../../connection/whole_call.ts";
+import { fetchBuffered, parseReport } from "../../connection/buffered_call.ts";
 import type { VmId } from "../../ids.ts";
 import type { PlacementEntry } from "../placement/index.ts";
 import type { KnownVersions, NewerState } from "./state_follower.ts";
@@ -44,15 +44,15 @@
 
   async #fetch<T>(vm: VmId, path: string): Promise<T> {
     const step = "fetch_from_peer";
-    const answer = await fetchWhole(this.#transport, vm, {
+    const answer = await fetchBuffered(this.#transport, vm, {
       step,
       method: "GET",
       path,
-      limitMs: FETCH_TIMEOUT_MS,
+      timeoutMs: FETCH_TIMEOUT_MS,
       maxBytes: MAX_ANSWER_BYTES,
     });
     const parse = (value: unknown) => value as T;
-    return readReport(answer, { step, upstream: vm, parse });
+    return parseReport(answer, { step, upstream: vm, parse });
   }
 }
 
--- a/src/process/seeded_fleet/published_store.ts
+++ b/src/process/seeded_fleet/published_store.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { PublishedConfiguration } from "../../version/published.ts";
+import type { PublishedConfiguration } from "../../version/published_configuration.ts";
 import type { ReplicaList } from "../placement/replica_list.ts";
 
 /** Everything that the platform publishes. */
--- a/src/process/seeded_fleet/state_follower.ts
+++ b/src/process/seeded_fleet/state_follower.ts
@@ -16,7 +16,7 @@
 import {
   buildRoutedSnapshot,
   type PublishedConfiguration,
-} from "../../version/published.ts";
+} from "../../version/published_configuration.ts";
 import type { RoutedSnapshot } from "../../version/routes.ts";
 import type { Clock } from "../clock.ts";
 import type { Log } from "../log.ts";
--- a/src/process/state_listener.ts
+++ b/src/process/state_listener.ts
@@ -4,10 +4,10 @@
  * @module
  */
 import {
-  AnsweringListener,
   buildJsonAnswer,
-  type SmallAnswer,
-} from "../connection/answering_listener.ts";
+  type SimpleAnswer,
+  SimpleListener,
+} from "../connection/simple_listener.ts";
 import { type RequestId, toId } from "../ids.ts";
 import type { Log } from "./log.ts";
 import {
@@ -34,8 +34,8 @@
 export function createStateListener(
   log: Log,
   handlers: StateHandlers,
-): AnsweringListener {
-  return AnsweringListener.create({
+): SimpleListener {
+  return SimpleListener.create({
     name: "state",
     log,
     buildAnswer: (method, url) =>
@@ -45,7 +45,7 @@
   });
 }
 
-function answerGet(url: URL, handlers: StateHandlers): SmallAnswer {
+function answerGet(url: URL, handlers: StateHandlers): SimpleAnswer {
   switch (url.pathname) {
     case STATE_PATH: {
       const known = parseKnownVersions(url.searchParams);
@@ -64,6 +64,6 @@
     : buildJsonAnswer(200, status);
 }
 
-function buildNotFound(error: string): SmallAnswer {
+function buildNotFound(error: string): SimpleAnswer {
   return buildJsonAnswer(404, { error });
 }
--- a/src/request/attempts.ts
+++ b/src/request/attempts.ts
@@ -3,7 +3,7 @@
  *
  * @module
  */
-import type { CallLimits } from "../connection/upstream_transport.ts";
+import type { CallTimeouts } from "../connection/upstream_transport.ts";
 import { toError } from "../errors.ts";
 import type { VmId } from "../ids.ts";
 import { RefusalError } from "../outcome.ts";
@@ -197,9 +197,9 @@
       ...call,
       upstream: lease.upstream,
       freshConnection: !execution.options.idempotent,
-      limits: {
+      timeouts: {
         ...computeLimits(execution, work),
-        mayWaitOn: () => isWorthWaiting(execution, work, lease),
+        canExtendTimeout: () => isWorthWaiting(execution, work, lease),
       },
       signal: cancel.signal,
       canSend: () => execution.options.isClaimValid() && lease.isValid(),
@@ -293,10 +293,10 @@
 function computeLimits(
   execution: RequestExecution,
   work: UpstreamWork,
-): CallLimits {
+): CallTimeouts {
   const leftMs = execution.deadlineAt -
     execution.services.environment.clock.now();
-  const limits = work.computeLimits(leftMs);
+  const limits = work.computeTimeouts(leftMs);
   if (execution.options.requestClass.lateIsUseful) return limits;
   return {
     ...limits,
--- a/src/request/index.ts
+++ b/src/request/index.ts
@@ -7,16 +7,16 @@
 export type { CallerRequest } from "./caller_request.ts";
 export { CallerSink } from "./caller_sink.ts";
 export type {
-  RequestStatus as FateRecord,
-  RequestStep as FateStep,
-  RequestStepName as FateStepName,
+  RequestStatus,
+  RequestStep,
+  RequestStepName,
 } from "./request_status.ts";
 export type { RequestServices } from "./request_services.ts";
 export { RequestRouter } from "./router.ts";
 export type {
-  AnswerMetadata as AnswerFacts,
-  PromptMetadata as PromptShape,
+  AnswerMetadata,
+  PromptMetadata,
   PromptPart,
   RoutedCall,
-  UpstreamMetadata as UpstreamFacts,
+  UpstreamMetadata,
 } from "./header_codec.ts";
--- a/src/request/routed_call_work.ts
+++ b/src/request/routed_call_work.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-  CallLimits,
+  CallTimeouts,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
 import { RoutedWork, type RoutedWorkContext } from "./routed_work.ts";
@@ -27,7 +27,7 @@
     return new RoutedCallWork(context);
   }
 
-  override computeLimits(leftMs: number): CallLimits {
+  override computeTimeouts(leftMs: number): CallTimeouts {
     const firstByteMs = this.canSendAgain()
       ? leftMs * FIRST_ATTEMPT_SHARE
       : leftMs;
--- a/src/request/routed_stream_work.ts
+++ b/src/request/routed_stream_work.ts
@@ -5,7 +5,7 @@
  */
 import { SseFramer } from "../connection/sse_frames.ts";
 import type {
-  CallLimits,
+  CallTimeouts,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
 import { RoutedWork, type RoutedWorkContext } from "./routed_work.ts";
@@ -29,7 +29,7 @@
   }
 
   /** Only the deadline ends a silent stream: no other replica can resume it. */
-  override computeLimits(leftMs: number): CallLimits {
+  override computeTimeouts(leftMs: number): CallTimeouts {
     return { firstByteMs: leftMs, betweenBytesMs: leftMs, totalMs: leftMs };
   }
 
@@ -64,7 +64,7 @@
     return new ResumableStreamWork(context);
   }
 
-  override computeLimits(leftMs: number): CallLimits {
+  override computeTimeouts(leftMs: number): CallTimeouts {
     const idleTimeoutMs = this.canSendAgain()
       ? Math.min(leftMs, IDLE_TIMEOUT_MS)
       : leftMs;
--- a/src/request/routed_work.ts
+++ b/src/request/routed_work.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-  CallLimits,
+  CallTimeouts,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
 import type { Refusal } from "../outcome.ts";
@@ -181,7 +181,7 @@
     );
   }
 
-  abstract override computeLimits(leftMs: number): CallLimits;
+  abstract override computeTimeouts(leftMs: number): CallTimeouts;
   abstract override handleAnswer(
     answer: UpstreamAnswer,
     options: RelayOptions,
--- a/src/request/upstream_work.ts
+++ b/src/request/upstream_work.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type {
-  CallLimits,
+  CallTimeouts,
   UpstreamAnswer,
 } from "../connection/upstream_transport.ts";
 import type { Refusal } from "../outcome.ts";
@@ -87,7 +87,7 @@
   }
 
   /** The timeouts of an attempt with `leftMs` left until the deadline. */
-  computeLimits(_leftMs: number): CallLimits {
+  computeTimeouts(_leftMs: number): CallTimeouts {
     return this.pool.timeouts;
   }
 
--- a/src/tool/burn/burn_causes.ts
+++ b/src/tool/burn/burn_causes.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { BurnCause, BurnEntry } from "../../process/burn_stats.ts";
-import { compareTexts } from "../../version/record_problem.ts";
+import { compareStrings } from "../../version/record_problem.ts";
 import type { ClassObjective } from "./burn_sources.ts";
 
 /** A cause with the row that it burns. */
@@ -65,7 +65,7 @@
       cause.pool,
       cause.upstream,
     ]);
-  return compareTexts(toKey(left), toKey(right));
+  return compareStrings(toKey(left), toKey(right));
 }
 
 /** Sums the causes by one property, the worst first. */
@@ -85,7 +85,7 @@
   }
   return [...shares.values()].sort((left, right) =>
     right.lastHour - left.lastHour || right.total - left.total ||
-    compareTexts(left.value, right.value)
+    compareStrings(left.value, right.value)
   );
 }
 
--- a/src/tool/burn/burn_fold.ts
+++ b/src/tool/burn/burn_fold.ts
@@ -20,7 +20,7 @@
   FINE_BUCKETS,
   mergeSeries,
 } from "../../process/burn_stats.ts";
-import { compareTexts } from "../../version/record_problem.ts";
+import { compareStrings } from "../../version/record_problem.ts";
 import {
   applyBucketShift,
   applySpanShift,
@@ -104,7 +104,7 @@
   }
   // In the order of time, so that the newest stand as examples.
   return [...byId.values()].sort((left, right) =>
-    left.atMs - right.atMs || compareTexts(left.requestId, right.requestId)
+    left.atMs - right.atMs || compareStrings(left.requestId, right.requestId)
   );
 }
 
@@ -213,7 +213,7 @@
   }
   return [...distinct.values()].sort((left, right) =>
     right.gatheredAtMs - left.gatheredAtMs ||
-    compareTexts(left.vm, right.vm) ||
-    compareTexts(left.why, right.why)
+    compareStrings(left.vm, right.vm) ||
+    compareStrings(left.why, right.why)
   );
 }
--- a/src/tool/burn/burn_rows.ts
+++ b/src/tool/burn/burn_rows.ts
@@ -15,7 +15,7 @@
   RESULTS,
 } from "../../process/burn_stats.ts";
 import { LatencyHistogram } from "../../process/latency_histogram.ts";
-import { compareTexts } from "../../version/record_problem.ts";
+import { compareStrings } from "../../version/record_problem.ts";
 import {
   BURN_RULES,
   type BurnBudget,
@@ -208,8 +208,8 @@
 export function compareRows(left: BurnRow, right: BurnRow): number {
   return computeSeverity(left) - computeSeverity(right) ||
     computeWorstRate(right) - computeWorstRate(left) ||
-    compareTexts(left.className, right.className) ||
-    compareTexts(left.workspace ?? "", right.workspace ?? "");
+    compareStrings(left.className, right.className) ||
+    compareStrings(left.workspace ?? "", right.workspace ?? "");
 }
 
 function computeWorstRate(row: BurnRow): number {
--- a/src/tool/burn/burn_sources.ts
+++ b/src/tool/burn/burn_sources.ts
@@ -19,7 +19,7 @@
   MAX_EXAMPLES,
   RESULTS,
 } from "../../process/burn_stats.ts";
-import { compareTexts } from "../../version/record_problem.ts";
+import { compareStrings } from "../../version/record_problem.ts";
 
 /** A span of the past, in milliseconds before some moment. */
 export interface PastSpan {
@@ -176,7 +176,7 @@
   if (byAge !== 0) return byAge;
   // Any fixed order will do, so long as it is not that of the files.
   const [leftText, rightText] = [JSON.stringify(left), JSON.stringify(right)];
-  return compareTexts(leftText, rightText);
+  return compareStrings(leftText, rightText);
 }
 
 /**
--- a/src/tool/fleet_commands.ts
+++ b/src/tool/fleet_commands.ts
@@ -3,8 +3,8 @@
  *
  * @module
  */
-import { buildStory, renderStory } from "./fate_story.ts";
-import { readFateFromLogs } from "./fate_from_logs.ts";
+import { buildStory, renderStory } from "./request_explanation.ts";
+import { readFateFromLogs } from "./request_status_logs.ts";
 import {
   DRAIN_ANSWER,
   ENTRIES_ANSWER,
--- a/src/version/changes.ts
+++ b/src/version/changes.ts
@@ -6,7 +6,7 @@
 import { isDeepStrictEqual } from "node:util";
 import { match } from "ts-pattern";
 import type { ClassName, WorkspaceName } from "../ids.ts";
-import { compareTexts } from "./record_problem.ts";
+import { compareStrings } from "./record_problem.ts";
 import type { ConfigRecord, RequestClass, Snapshot, Tier } from "./records.ts";
 
 /** One field of a record that differs. */
@@ -77,7 +77,7 @@
   after: ReadonlyMap<K, ConfigRecord>,
 ): RecordPair[] {
   const names = [...new Set([...before.keys(), ...after.keys()])];
-  return names.sort(compareTexts).map((name) => ({
+  return names.sort(compareStrings).map((name) => ({
     before: before.get(name),
     after: after.get(name),
   }));
@@ -123,7 +123,7 @@
     return [{ path: `$.${keys.join(".")}`, before, after }];
   }
   const names = new Set([...Object.keys(before), ...Object.keys(after)]);
-  return [...names].sort(compareTexts).flatMap((name) =>
+  return [...names].sort(compareStrings).flatMap((name) =>
     listFieldChanges([...keys, name], [before[name], after[name]])
   );
 }
@@ -162,8 +162,8 @@
     }
   }
   return {
-    classes: [...classes].sort(compareTexts),
-    workspaces: [...workspaces].sort(compareTexts),
+    classes: [...classes].sort(compareStrings),
+    workspaces: [...workspaces].sort(compareStrings),
   };
 }
 
--- a/src/version/record_groups.ts
+++ b/src/version/record_groups.ts
@@ -6,7 +6,7 @@
  */
 import { z } from "zod";
 import { StepError } from "../errors.ts";
-import { compareTexts, formatPath } from "./record_problem.ts";
+import { compareStrings, formatPath } from "./record_problem.ts";
 import { findBoundProblem } from "./value_bounds.ts";
 
 /** The service's bound on one value, in bytes. */
@@ -106,7 +106,7 @@
     byKind.set(kind, list);
   }
   return [...byKind]
-    .sort(([left], [right]) => compareTexts(left, right))
+    .sort(([left], [right]) => compareStrings(left, right))
     .flatMap(([kind, list]) => buildKindGroups(list, { kind, maxBytes }));
 }
 
--- a/src/version/record_problem.ts
+++ b/src/version/record_problem.ts
@@ -27,7 +27,7 @@
  * Orders texts by UTF-16 code unit. A locale's order would depend on the VM's
  * environment, and two VMs could then report one version differently.
  */
-export function compareTexts(left: string, right: string): number {
+export function compareStrings(left: string, right: string): number {
   if (left === right) return 0;
   return left < right ? -1 : 1;
 }
@@ -37,7 +37,7 @@
   left: RecordProblem,
   right: RecordProblem,
 ): number {
-  return compareTexts(formatProblem(left), formatProblem(right));
+  return compareStrings(formatProblem(left), formatProblem(right));
 }
 
 /** Writes the keys that lead to a value as a JSON path. */
--- a/src/version/snapshot_maps.ts
+++ b/src/version/snapshot_maps.ts
@@ -6,7 +6,7 @@
 import { match } from "ts-pattern";
 import type { ModelName } from "../ids.ts";
 import type { RecordsByKind } from "./cross_checks.ts";
-import { compareTexts } from "./record_problem.ts";
+import { compareStrings } from "./record_problem.ts";
 import type {
   ConfigRecord,
   Policy,
@@ -42,7 +42,7 @@
     pools: [],
     policies: [],
   };
-  const sorted = records.sort((a, b) => compareTexts(a.name, b.name));
+  const sorted = records.sort((a, b) => compareStrings(a.name, b.name));
   for (const record of sorted) {
     match(record)
       .with({ kind: "tier" }, (tier) => byKind.tiers.push(tier))
--- a/standin/engine_calls.ts
+++ b/standin/engine_calls.ts
@@ -144,7 +144,7 @@
 ): void {
   const body = ORDER_BODY.parse(readJson(call.body));
   const order = { ...body, adapter: body.adapter, role: body.role };
-  if (core.applyOrder(order)) {
+  if (core.applyCommand(order)) {
     writeJson(writer, { status: 200, body: { accepted: true } });
     return;
   }
@@ -155,11 +155,13 @@
 function applyControl(core: EngineCore, body: ControlBody): void {
   if (body.options !== undefined) Object.assign(core.options, body.options);
   if (body.leaving !== undefined) core.setLeaving(body.leaving);
-  if (body.silent_next !== undefined) core.setSilentNext(body.silent_next);
-  if (body.refuse_next !== undefined) core.setRefuseNext(body.refuse_next);
+  if (body.silent_next !== undefined) {
+    core.silenceNextRequests(body.silent_next);
+  }
+  if (body.refuse_next !== undefined) core.refuseNextRequests(body.refuse_next);
   if (body.stall_ms !== undefined) core.setStall(body.stall_ms);
-  if (body.drop_listeners) core.dropListeners();
-  if (body.start_again) core.startAgain();
+  if (body.drop_listeners) core.silenceRunningRequests();
+  if (body.start_again) core.restart();
   if (body.crash_after_tokens !== undefined) {
     core.setCrashAfter(body.crash_after_tokens);
   }
--- a/standin/engine_core.ts
+++ b/standin/engine_core.ts
@@ -16,7 +16,7 @@
 import { EngineCache } from "./engine_cache.ts";
 import { createCounts, type EngineCounts } from "./engine_counts.ts";
 import { LoadHistory } from "./engine_load.ts";
-import { EngineModels, type OrderRecord } from "./engine_models.ts";
+import { type CommandRecord, EngineModels } from "./engine_models.ts";
 import {
   DEFAULT_ENGINE_OPTIONS,
   type EngineOptions,
@@ -155,14 +155,14 @@
   }
 
   /** False when the fencing number is old and this engine checks it. */
-  applyOrder(order: EngineCommand): boolean {
+  applyCommand(order: EngineCommand): boolean {
     const accepted = this.#models.applyOrder(order, () => this.#noteLoad());
     this.#noteLoad();
     return accepted;
   }
 
   /** Every order that arrived, refused ones too. */
-  listOrders(): readonly OrderRecord[] {
+  listCommands(): readonly CommandRecord[] {
     return this.#models.listOrders();
   }
 
@@ -178,17 +178,17 @@
   }
 
   /** Nothing more is heard of the requests here now; new ones work. */
-  dropListeners(): void {
+  silenceRunningRequests(): void {
     for (const run of this.#batch.list()) run.silent = true;
   }
 
   /** The next `count` requests are accepted and never heard of again. */
-  setSilentNext(count: number): void {
+  silenceNextRequests(count: number): void {
     this.#silentNext = count;
   }
 
   /** The next `count` requests are told that nothing was done. */
-  setRefuseNext(count: number): void {
+  refuseNextRequests(count: number): void {
     this.#refuseNext = count;
   }
 
@@ -204,7 +204,7 @@
   }
 
   /** Comes back empty after a crash; counts and run records stay. */
-  startAgain(): void {
+  restart(): void {
     this.#crashed = false;
     this.#cache.clear();
     this.#noteLoad();
--- a/standin/engine_models.ts
+++ b/standin/engine_models.ts
@@ -12,10 +12,10 @@
 const FIRST_ROLE = "serve";
 
 /** An order that arrived. */
-export interface OrderRecord {
+export interface CommandRecord {
   /** Time of arrival on the engine's clock, in milliseconds. */
   at: number;
-  order: EngineCommand;
+  command: EngineCommand;
   accepted: boolean;
 }
 
@@ -23,7 +23,7 @@
 export class EngineModels {
   readonly #clock: Clock;
   readonly #options: EngineOptions;
-  readonly #orders: OrderRecord[] = [];
+  readonly #orders: CommandRecord[] = [];
   #held: HeldModel[];
   #role = FIRST_ROLE;
   #fencing = 0;
@@ -60,7 +60,7 @@
     return this.#held;
   }
 
-  listOrders(): readonly OrderRecord[] {
+  listOrders(): readonly CommandRecord[] {
     return this.#orders;
   }
 
@@ -68,7 +68,7 @@
   applyOrder(order: EngineCommand, onChange: () => void): boolean {
     const isOld = order.fencing < this.#fencing;
     const accepted = !(isOld && this.#options.fencing === "checked");
-    this.#orders.push({ at: this.#clock.now(), order, accepted });
+    this.#orders.push({ at: this.#clock.now(), command: order, accepted });
     if (!accepted) return false;
     this.#fencing = order.fencing;
     match(order.action)
--- a/standin/service_core.ts
+++ b/standin/service_core.ts
@@ -90,7 +90,7 @@
       .with(["POST", P.string], () => this.#addHold(call))
       .with(
         ["GET", P.string.startsWith("/lookup/")],
-        ([, path]) => buildAnswer(200, formatLookup(path)),
+        ([, path]) => buildAnswer(200, buildLookupBody(path)),
       )
       .otherwise(() =>
         buildAnswer(200, { method: call.method, path: call.path })
@@ -110,7 +110,7 @@
 }
 
 /** What a look-up under `path` gives: a pure function of the path. */
-export function formatLookup(path: string) {
+export function buildLookupBody(path: string) {
   return { path, slots: [path.length, path.length + 1] };
 }
 
--- a/standin/virtual_fleet.ts
+++ b/standin/virtual_fleet.ts
@@ -61,7 +61,7 @@
       random: SeededRandom.create((options.seed ?? 1) + 1),
     });
     this.service = new VirtualService(this.clock);
-    const listed = createListed(options.count, options.dataCentres ?? 4);
+    const listed = createListedVms(options.count, options.dataCentres ?? 4);
     this.#seeds = listed.map((vm) => vm.id);
     this.service.putList(1, listed);
     for (const vm of listed) this.addVm(vm);
@@ -154,7 +154,10 @@
 }
 
 /** `count` listed entry VMs, named vm-0 and so on. */
-export function createListed(count: number, dataCentres: number): ListedVm[] {
+export function createListedVms(
+  count: number,
+  dataCentres: number,
+): ListedVm[] {
   return Array.from({ length: count }, (_, index) => ({
     id: toId<VmId>(`vm-${index}`),
     role: "entry",
--- a/test/connection/call_watch_test.ts
+++ b/test/connection/call_timer_test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from "vitest";
-import { CallWatch } from "../../src/connection/call_watch.ts";
+import { CallTimer } from "../../src/connection/call_timer.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 
 // Symptom: a run in virtual time stands still for ever at one moment.
@@ -17,8 +17,8 @@
   expect(clock.now()).toBe(since);
   const passed: string[] = [];
   const limits = { firstByteMs: limitMs, betweenBytesMs: 1, totalMs: 10_000 };
-  const watch = CallWatch.create(clock, limits, {
-    onPassed: (kind) => passed.push(kind),
+  const watch = CallTimer.create(clock, limits, {
+    onTimeout: (kind) => passed.push(kind),
   });
   let timers = 0;
   const startTimer = clock.startTimer.bind(clock);
@@ -40,12 +40,12 @@
   const clock = VirtualClock.create();
   let mayWaitOn = true;
   const passed: [string, number][] = [];
-  const watch = CallWatch.create(clock, {
+  const watch = CallTimer.create(clock, {
     firstByteMs: 1_000,
     betweenBytesMs: 1_000,
     totalMs: 60_000,
-    mayWaitOn: () => mayWaitOn,
-  }, { onPassed: (kind) => passed.push([kind, clock.now()]) });
+    canExtendTimeout: () => mayWaitOn,
+  }, { onTimeout: (kind) => passed.push([kind, clock.now()]) });
   await clock.run(2_500);
   expect(passed).toEqual([]);
   mayWaitOn = false;
@@ -57,12 +57,12 @@
 it("ends at the total limit whatever it is told", async () => {
   const clock = VirtualClock.create();
   const passed: string[] = [];
-  const watch = CallWatch.create(clock, {
+  const watch = CallTimer.create(clock, {
     firstByteMs: 400,
     betweenBytesMs: 400,
     totalMs: 1_000,
-    mayWaitOn: () => true,
-  }, { onPassed: (kind) => passed.push(kind) });
+    canExtendTimeout: () => true,
+  }, { onTimeout: (kind) => passed.push(kind) });
   await clock.run(1_001);
   watch.stop();
   expect(passed).toEqual(["total_timeout"]);
--- a/test/connection/undelimited_answer_test.ts
+++ b/test/connection/close_delimited_answer_test.ts
@@ -35,7 +35,7 @@
     clock: SystemClock.create(),
     log: SilentLog.create(),
     findAddress: () => ({ address: LOOPBACK, port }),
-    allowsUndelimited,
+    allowsCloseDelimited: allowsUndelimited,
   });
   onTestFinished(() => transport.close());
   return transport.send({
@@ -45,7 +45,7 @@
     headers: {},
     body: new Uint8Array(),
     freshConnection: false,
-    limits: LIMITS,
+    timeouts: LIMITS,
     signal: new AbortController().signal,
   });
 }
--- a/test/connection/http_transport_test.ts
+++ b/test/connection/http_transport_test.ts
@@ -54,7 +54,7 @@
     headers: { "x-priority": "3" },
     body: Buffer.from("{}"),
     freshConnection: false,
-    limits: LIMITS,
+    timeouts: LIMITS,
     signal: new AbortController().signal,
     ...changes,
   };
@@ -180,7 +180,9 @@
       tls: { ca: readTls("a").cert },
     });
     const failed = findError(
-      transport.send(buildCall({ limits: { ...LIMITS, firstByteMs: 60_000 } })),
+      transport.send(
+        buildCall({ timeouts: { ...LIMITS, firstByteMs: 60_000 } }),
+      ),
     );
     await waitUntil(() => clock.pending === 2);
     await clock.run(1_000);
--- a/test/connection/openai_client_test.ts
+++ b/test/connection/openai_client_test.ts
@@ -8,7 +8,7 @@
   PlatformServer,
 } from "../../standin/index.ts";
 import { findClosedPort, LOOPBACK } from "../support/loopback.ts";
-import { buildRawSet } from "../version/record_fixtures.ts";
+import { buildRawRecords } from "../version/record_fixtures.ts";
 
 const PROMPT = "[[tokens=30]] Where is my slot?";
 const POLL_MS = 10;
@@ -32,7 +32,7 @@
     await findClosedPort(),
   ];
   const [port, peerPort, operatorPort] = ports;
-  platform.core.addVersion({ all: Object.values(buildRawSet()) });
+  platform.core.addVersion({ all: Object.values(buildRawRecords()) });
   const place = { state: "live", data_centre: "d1", address: LOOPBACK };
   platform.core.addList([
     { ...place, id: "vm-1", role: "entry", port, peer_port: peerPort },
--- a/test/connection/operator_listener_test.ts
+++ b/test/connection/operator_listener_test.ts
@@ -20,7 +20,9 @@
   override startDrain(): Promise<object> {
     return Promise.resolve({ call: "drain" });
   }
-  override findFate(requestId: RequestId): Promise<object | undefined> {
+  override findRequestStatus(
+    requestId: RequestId,
+  ): Promise<object | undefined> {
     return Promise.resolve(requestId === "r-1" ? { requestId } : undefined);
   }
   override collectBurn(query: URLSearchParams): Promise<object> {
--- a/test/connection/pass_through_test.ts
+++ b/test/connection/pass_through_test.ts
@@ -43,7 +43,7 @@
       headers: {},
       body: request.body,
       freshConnection: false,
-      limits: { firstByteMs: 5_000, betweenBytesMs: 5_000, totalMs: 20_000 },
+      timeouts: { firstByteMs: 5_000, betweenBytesMs: 5_000, totalMs: 20_000 },
       signal: sink.signal,
     });
     sink.writeHead(answer.status, answer.headers);
--- a/test/failures/back_off_test.ts
+++ b/test/failures/back_off_test.ts
@@ -25,7 +25,7 @@
 /** The upstream does nothing, says so, and asks for a time without work. */
 function setFull(world: FuzzWorld, upstream: VmId): void {
   const { engines, services, extraHeaders } = world.upstreams;
-  engines.get(upstream)?.setRefuseNext(MANY);
+  engines.get(upstream)?.refuseNextRequests(MANY);
   const service = services.get(upstream);
   if (service !== undefined) service.faults = Array(MANY).fill("not_started");
   extraHeaders.set(upstream, { "retry-after": String(BACK_OFF_S) });
@@ -33,7 +33,7 @@
 
 function setFree(world: FuzzWorld, upstream: VmId): void {
   const { engines, services, extraHeaders } = world.upstreams;
-  engines.get(upstream)?.setRefuseNext(0);
+  engines.get(upstream)?.refuseNextRequests(0);
   const service = services.get(upstream);
   if (service !== undefined) service.faults = [];
   extraHeaders.delete(upstream);
--- a/test/failures/run_elsewhere_after_refusal_test.ts
+++ b/test/failures/execution_elsewhere_after_refusal_test.ts
@@ -14,7 +14,7 @@
 import { expect, it } from "vitest";
 import type { RequestId } from "../../src/ids.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
-import { buildRunningRecord } from "../support/fate_examples.ts";
+import { buildRunningStatus } from "../support/request_status_examples.ts";
 import { FakePeers } from "../support/request_fakes.ts";
 import { RequestVm } from "../support/request_vm.ts";
 
@@ -75,7 +75,7 @@
 ): Promise<void> {
   const claim = await vm.claims.claimExecution(id);
   expect(claim.kind).toBe("granted");
-  vm.fates.start(buildRunningRecord(id));
+  vm.fates.start(buildRunningStatus(id));
   vm.fates.end(id, { outcome, code: undefined, tokens: 0 });
   vm.claims.settleExecution(id, outcome);
   await clock.run(1);
--- a/test/failures/fleet_half_replaced_test.ts
+++ b/test/failures/fleet_half_replaced_test.ts
@@ -11,7 +11,7 @@
  * @module
  */
 import { expect, it } from "vitest";
-import { createListed, startVm } from "../../standin/virtual_fleet.ts";
+import { createListedVms, startVm } from "../../standin/virtual_fleet.ts";
 import type { VirtualFleet } from "../../standin/virtual_fleet.ts";
 import { buildRecords } from "../support/fleet_records.ts";
 import {
@@ -28,7 +28,7 @@
 function replaceHalf(fleet: VirtualFleet): number[][] {
   const old = fleet.list().map((vm) => vm.listed);
   for (const { id } of old.slice(0, HALF)) fleet.stopVm(id);
-  const fresh = createListed(3 * HALF, 4).slice(2 * HALF);
+  const fresh = createListedVms(3 * HALF, 4).slice(2 * HALF);
   fleet.service.putList(2, [...old.slice(HALF), ...fresh]);
   return fresh.map((listed) => {
     const vm = fleet.addVm(listed);
--- a/test/failures/pause_while_connecting_test.ts
+++ b/test/failures/pause_while_connecting_test.ts
@@ -47,7 +47,7 @@
       headers: {},
       body: Buffer.from("{}"),
       freshConnection: true,
-      limits: LIMITS,
+      timeouts: LIMITS,
       signal: new AbortController().signal,
       canSend: () => false,
     };
--- a/test/failures/processes/drain_test.ts
+++ b/test/failures/processes/drain_test.ts
@@ -12,7 +12,7 @@
  * @module
  */
 import { afterEach, expect, inject, it } from "vitest";
-import { type Ended, sendChat } from "../../support/process_calls.ts";
+import { type CallResult, sendChat } from "../../support/process_calls.ts";
 import { ProcessFleet, waitUntil } from "../../support/process_fleet.ts";
 
 const ENTRIES_TTL_MS = 2_000;
@@ -25,7 +25,7 @@
 
 afterEach(() => fleet?.close());
 
-function checkAnswered(ended: Ended): void {
+function checkAnswered(ended: CallResult): void {
   const found = JSON.stringify(ended.result);
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
 }
--- a/test/failures/processes/paused_order_giver_test.ts
+++ b/test/failures/processes/paused_engine_controller_test.ts
@@ -39,7 +39,9 @@
     });
     const { core } = fleet.engines[0]!;
     const listOrders = () =>
-      core.listOrders().filter(({ order }) => order.action === "load");
+      core.listCommands().filter(({ command: order }) =>
+        order.action === "load"
+      );
     const vms = fleet.vms.map(({ id }) => toId<VmId>(id));
     const [giverId] = computeRendezvousOrder(ORDERS_KEY, vms);
     const giver = fleet.getVm(giverId!);
@@ -57,7 +59,7 @@
     const revision = fleet.announceStates({ [giver.id]: "leaving" });
     await sleep(PAUSE_MS);
     await waitUntil("the next giver's order", NEXT_GIVER_MS, () => {
-      return listOrders().some(({ order }) => order.version === "3");
+      return listOrders().some(({ command: order }) => order.version === "3");
     });
 
     giver.resume();
@@ -66,8 +68,8 @@
     // refuses it. One that ignores the number must not be sent any.
     const since = listOrders().slice(before)
       .filter(({ accepted }) => accepted || fencing === "ignored");
-    expect(since.map(({ order }) => order.version)).toEqual(["3"]);
-    expect(since[0]!.order.fencing).toBe(revision);
+    expect(since.map(({ command: order }) => order.version)).toEqual(["3"]);
+    expect(since[0]!.command.fencing).toBe(revision);
     const held = core.getLoad().models.map(({ version }) => version);
     expect(held).toContain("3");
     expect(held).not.toContain("2");
--- a/test/failures/processes/paused_vm_test.ts
+++ b/test/failures/processes/paused_vm_test.ts
@@ -13,8 +13,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { afterAll, afterEach, beforeAll, expect, inject, it } from "vitest";
 import {
+  type CallResult,
   countExecutions,
-  type Ended,
   fetchRequestId,
   listRuns,
   PeakWatch,
@@ -83,7 +83,7 @@
   });
 }
 
-function checkOneRun(ended: Ended): void {
+function checkOneRun(ended: CallResult): void {
   const found = JSON.stringify(ended.outcome);
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
   expect(listRuns(fleet.engines, ended.requestId!)).toHaveLength(1);
--- a/test/failures/processes/silent_connections_test.ts
+++ b/test/failures/processes/silent_connections_test.ts
@@ -14,8 +14,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { afterAll, beforeAll, expect, inject, it } from "vitest";
 import {
+  type CallResult,
   countExecutions,
-  type Ended,
   fetchRequestId,
   listRuns,
   sendChat,
@@ -47,7 +47,7 @@
 
 afterAll(() => fleet?.close());
 
-function checkAnswered(ended: Ended): void {
+function checkAnswered(ended: CallResult): void {
   const found = JSON.stringify(ended.result);
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
 }
--- a/test/failures/processes/upstream_leaving_test.ts
+++ b/test/failures/processes/upstream_leaving_test.ts
@@ -13,7 +13,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { afterEach, expect, inject, it } from "vitest";
 import {
-  type Ended,
+  type CallResult,
   fetchRequestId,
   listRuns,
   sendChat,
@@ -39,7 +39,7 @@
     });
     const { core } = fleet.engines[0]!;
     const { vms } = fleet;
-    const sent: Promise<Ended>[] = [];
+    const sent: Promise<CallResult>[] = [];
     let isOver = false;
     const load = (async () => {
       for (let index = 0; !isOver; index++) {
--- a/test/fuzz/fuzz_fates.ts
+++ b/test/fuzz/fuzz_fates.ts
@@ -128,7 +128,7 @@
   id: string,
 ): BrokenPromise[] {
   if (request.takenId !== undefined || life.isDead) return [];
-  const fate = life.runtime.fates.find(id as never);
+  const fate = life.runtime.requestStatuses.find(id as never);
   if (fate === undefined || fate.configVersion === version) return [];
   const detail = `${id} was admitted under ${version} and is told to have ` +
     `kept ${fate.configVersion}`;
--- a/test/fuzz/fuzz_faults.ts
+++ b/test/fuzz/fuzz_faults.ts
@@ -214,9 +214,9 @@
     .with("crash_soon", () => core.setCrashAfter(CRASH_TOKENS))
     .with("start_again", () => startAgain(core))
     .with("stall", () => core.setStall(STALL_MS))
-    .with("silence", () => core.dropListeners())
-    .with("silent_next", () => core.setSilentNext(1))
-    .with("refuse", () => core.setRefuseNext(2))
+    .with("silence", () => core.silenceRunningRequests())
+    .with("silent_next", () => core.silenceNextRequests(1))
+    .with("refuse", () => core.refuseNextRequests(2))
     .with("slow", () => setSpeed(core, SLOW_FACTOR))
     .with("fast", () => setSpeed(core, 1))
     .with("late_reports", () => {
@@ -238,7 +238,7 @@
 }
 
 function startAgain(core: EngineCore): void {
-  if (core.isCrashed) core.startAgain();
+  if (core.isCrashed) core.restart();
 }
 
 function setSpeed(core: EngineCore, factor: number): void {
--- a/test/fuzz/fuzz_request.ts
+++ b/test/fuzz/fuzz_request.ts
@@ -8,7 +8,7 @@
 import type { CallerRequest } from "../../src/request/caller_request.ts";
 import { getClassRank, type RequestClass } from "../../src/version/records.ts";
 import { EngineAnswer } from "../../standin/engine_answer.ts";
-import { formatLookup } from "../../standin/service_core.ts";
+import { buildLookupBody } from "../../standin/service_core.ts";
 import { getExamples, getOutputCap } from "./fuzz_records.ts";
 
 /** Above every cap, so that the class's cap decides. */
@@ -133,7 +133,7 @@
 ): boolean {
   if (answer.status >= 500) return true;
   if (request.isIdempotent) {
-    const expected = formatLookup(`/lookup/${formatTag(request.tag)}`);
+    const expected = buildLookupBody(`/lookup/${formatTag(request.tag)}`);
     return JSON.stringify(answer.body) === JSON.stringify(expected);
   }
   const hold = answer.body as { request_id?: unknown; echo?: unknown };
--- a/test/fuzz/fuzz_upstreams.ts
+++ b/test/fuzz/fuzz_upstreams.ts
@@ -114,10 +114,10 @@
   removeFaults(): void {
     this.unreported.clear();
     for (const core of this.engines.values()) {
-      if (core.isCrashed) core.startAgain();
+      if (core.isCrashed) core.restart();
       core.setCrashAfter(Infinity);
-      core.setSilentNext(0);
-      core.setRefuseNext(0);
+      core.silenceNextRequests(0);
+      core.refuseNextRequests(0);
       core.setLeaving(false);
       Object.assign(core.options, { speedFactor: 1, loadLagMs: 500 });
     }
@@ -193,7 +193,7 @@
     upstream: VmId,
     order: EngineCommand,
   ): Promise<boolean> {
-    return (await this.#fetchEngine(upstream)).applyOrder(order);
+    return (await this.#fetchEngine(upstream)).applyCommand(order);
   }
 
   override async copyCache(
--- a/test/platform/fleet_test.ts
+++ b/test/platform/fleet_test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it, onTestFinished } from "vitest";
 import { toId } from "../../src/ids.ts";
-import { listOwnersOf } from "../../src/process/seeded_fleet/index.ts";
+import { listPartitionOwners } from "../../src/process/seeded_fleet/index.ts";
 import { waitUntil } from "../support/loopback.ts";
 import { Relay } from "../support/relay.ts";
 import { buildConfiguration, KEY, ROUTES } from "./configurations.ts";
-import { sendCall } from "./caller_call.ts";
+import { sendCall } from "./test_call.ts";
 import { PlatformFleet, sendRequest, type TestVm } from "./platform_fleet.ts";
 
 const BOUND_MS = 2_000;
@@ -273,7 +273,7 @@
       cores: 1,
       isPrimed: true,
     }));
-    const expected = listOwnersOf("pools-0", candidates);
+    const expected = listPartitionOwners("pools-0", candidates);
     for (const owner of owners) expect(expected).toContain(owner);
   });
 
@@ -281,7 +281,7 @@
     const fleet = await createLargeFleet();
     const told = fleet.vms.map(({ settings }) => settings.vm);
     const candidates = told.map((vm) => ({ vm, cores: 1, isPrimed: true }));
-    const owners = listOwnersOf("pools-0", candidates);
+    const owners = listPartitionOwners("pools-0", candidates);
     const isOwner = ({ settings }: TestVm) => owners.includes(settings.vm);
     const stopped = fleet.vms.filter(isOwner);
     const calmMs = await recordMs(sendByEach(fleet.vms).then(() => {}));
--- a/test/platform/headers_test.ts
+++ b/test/platform/headers_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
-import { PlatformDialect } from "../../platform/headers.ts";
+import { PlatformHeaderCodec } from "../../platform/headers.ts";
 
-const dialect = PlatformDialect.create();
+const dialect = PlatformHeaderCodec.create();
 
 function readSignals(status: number, headers: Record<string, string>) {
   return dialect.readAnswer(status, headers).signals;
--- a/test/platform/pass_through_test.ts
+++ b/test/platform/pass_through_test.ts
@@ -3,7 +3,7 @@
 import { describe, expect, it } from "vitest";
 import { startServer, waitUntil } from "../support/loopback.ts";
 import { HOST, KEY } from "./configurations.ts";
-import { sendCall } from "./caller_call.ts";
+import { sendCall } from "./test_call.ts";
 import { PlatformFleet, sendRequest } from "./platform_fleet.ts";
 
 describe("a call on the platform", () => {
--- a/test/platform/platform_fleet.ts
+++ b/test/platform/platform_fleet.ts
@@ -6,9 +6,9 @@
  * @module
  */
 import { onTestFinished } from "vitest";
-import { startEntryPoints } from "../../platform/entry_points.ts";
-import { PlatformDialect } from "../../platform/headers.ts";
-import { fetchCachedParts } from "../../platform/replica_lists.ts";
+import { startListeners } from "../../platform/listeners.ts";
+import { PlatformHeaderCodec } from "../../platform/headers.ts";
+import { fetchCachedParts } from "../../platform/cached_parts.ts";
 import { PlatformStore } from "../../platform/store.ts";
 import { type DataCentre, type Region, toId } from "../../src/ids.ts";
 import { type Log, SilentLog } from "../../src/process/log.ts";
@@ -16,7 +16,7 @@
 import { RoutedVm } from "../../src/process/routed_vm.ts";
 import { findFreePorts } from "../../demo/free_ports.ts";
 import { LOOPBACK, waitUntil } from "../support/loopback.ts";
-import { sendCall, type TestAnswer, type TestCall } from "./caller_call.ts";
+import { sendCall, type TestAnswer, type TestCall } from "./test_call.ts";
 import { buildConfiguration, HOST, KEY } from "./configurations.ts";
 import { ReplicaStandIn } from "./replica_stand_in.ts";
 import { StoreStandIn } from "./store_stand_in.ts";
@@ -101,7 +101,7 @@
     const vm = RoutedVm.create({
       settings,
       log,
-      dialect: PlatformDialect.create(),
+      headerCodec: PlatformHeaderCodec.create(),
       createStore: (transport) => PlatformStore.create(transport, log),
       fetchCachedParts,
     });
@@ -115,7 +115,7 @@
   }
 
   async #startSides(vm: RoutedVm, settings: RoutedSettings): Promise<void> {
-    const listeners = await startEntryPoints(vm, settings, SilentLog.create());
+    const listeners = await startListeners(vm, settings, SilentLog.create());
     for (const listener of listeners) {
       onTestFinished(() => listener.closeAll());
       onTestFinished(() => void listener.stop());
--- a/test/platform/poison_request_test.ts
+++ b/test/platform/poison_request_test.ts
@@ -4,7 +4,7 @@
 import { waitUntil } from "../support/loopback.ts";
 import { buildConfiguration, KEY } from "./configurations.ts";
 import { PlatformFleet, sendRequest, type TestVm } from "./platform_fleet.ts";
-import type { TestAnswer } from "./caller_call.ts";
+import type { TestAnswer } from "./test_call.ts";
 
 const PATH = "/restream/x";
 const POISON = "poison";
--- a/test/platform/regions_test.ts
+++ b/test/platform/regions_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { decodeConfiguration } from "../../platform/configuration.ts";
 import { waitUntil } from "../support/loopback.ts";
-import { sendCall } from "./caller_call.ts";
+import { sendCall } from "./test_call.ts";
 import {
   buildConfiguration,
   ROUTES,
--- a/test/platform/replica_back_off_test.ts
+++ b/test/platform/replica_back_off_test.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect, it } from "vitest";
-import { listOwnersOf } from "../../src/process/seeded_fleet/index.ts";
+import { listPartitionOwners } from "../../src/process/seeded_fleet/index.ts";
 import { waitUntil } from "../support/loopback.ts";
 import { PlatformFleet } from "./platform_fleet.ts";
 import type { ReplicaStandIn } from "./replica_stand_in.ts";
@@ -63,7 +63,7 @@
   asking.forEach(setFull);
   const candidates = fleet.vms
     .map(({ settings: { vm } }) => ({ vm, cores: 1, isPrimed: true }));
-  const owners = listOwnersOf("pools-0", candidates);
+  const owners = listPartitionOwners("pools-0", candidates);
   const asker = fleet.vms
     .find(({ settings }) => !owners.includes(settings.vm))!;
   await sendFor([asker], BACK_OFF_S * MS_PER_SECOND);
--- a/test/platform/restarted_replica_test.ts
+++ b/test/platform/restarted_replica_test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { waitUntil } from "../support/loopback.ts";
-import { sendCall } from "./caller_call.ts";
+import { sendCall } from "./test_call.ts";
 import { PlatformFleet, sendRequest, type TestVm } from "./platform_fleet.ts";
 
 const PROMPT = {
--- a/test/platform/steady_calls.ts
+++ b/test/platform/steady_calls.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import type { TestAnswer } from "./caller_call.ts";
+import type { TestAnswer } from "./test_call.ts";
 import { sendRequest, type TestVm } from "./platform_fleet.ts";
 
 const SEND_EVERY_MS = 20;
--- a/test/process/configuration_steps_test.ts
+++ b/test/process/configuration_deltas_test.ts
@@ -1,10 +1,10 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import {
-  applySteps,
+  applyDeltas,
+  DeltaHistory,
   mergeRecords,
-  StepHistory,
-} from "../../src/process/configuration_steps.ts";
+} from "../../src/process/configuration_deltas.ts";
 import {
   computeDigest,
   RecordMemory,
@@ -38,20 +38,20 @@
 describe("steps", () => {
   it("lead from any held content to the newest, or are not given", () => {
     fc.assert(fc.property(fc.array(CONTENT, { minLength: 2 }), (contents) => {
-      const history = StepHistory.create();
+      const history = DeltaHistory.create();
       const all = contents.map(toContent);
       all.slice(1).forEach((to, index) => history.add(all[index]!, to));
       for (const content of all) {
         const steps = history.listFrom(content.digest);
         if (steps === undefined) continue;
         const sent = JSON.parse(JSON.stringify(steps));
-        expect(applySteps(content, sent)).toEqual(all.at(-1));
+        expect(applyDeltas(content, sent)).toEqual(all.at(-1));
       }
     }));
   });
 
   it("hold a change of one record as that record alone", () => {
-    const history = StepHistory.create();
+    const history = DeltaHistory.create();
     const from = toContent(buildVersion(1));
     const to = toContent(buildVersion(2));
     history.add(from, to);
@@ -80,7 +80,7 @@
       [{ from, to: "x", splices: [{ at: 0, remove: 0, add: "ab" }] }],
     ];
     for (const steps of bad) {
-      expect(applySteps(content, steps)).toBeUndefined();
+      expect(applyDeltas(content, steps)).toBeUndefined();
     }
   });
 
--- a/test/process/daemon_test.ts
+++ b/test/process/daemon_test.ts
@@ -150,7 +150,7 @@
   const id = daemon.runtime.issueId();
   const path = `/v1/requests/${encodeURIComponent(id)}`;
   expect((await fetchText(path)).status).toBe(404);
-  daemon.runtime.fates.start({
+  daemon.runtime.requestStatuses.start({
     requestId: id,
     vm: daemon.environment.vm,
     workspace: undefined,
--- a/test/process/engine_control/engine_controller_test.ts
+++ b/test/process/engine_control/engine_controller_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { FakeMembership } from "../../../bench/support/fake_membership.ts";
 import {
-  type EngineOrder,
+  type EngineCommand,
   type LoadReport,
   UpstreamTransport,
 } from "../../../src/connection/index.ts";
@@ -32,7 +32,7 @@
 
 const UPSTREAMS = ["u1", "u2"].map((id) => toId<VmId>(id));
 
-interface SentCommand extends EngineOrder {
+interface SentCommand extends EngineCommand {
   controller: VmId;
   at: number;
 }
@@ -47,7 +47,7 @@
   refused = 0;
   #highest = 0;
 
-  take(controller: VmId, command: EngineOrder, at: number): boolean {
+  take(controller: VmId, command: EngineCommand, at: number): boolean {
     if (this.checksFencing && command.fencing < this.#highest) {
       this.refused++;
       return false;
@@ -75,7 +75,7 @@
     return Promise.resolve(this.#engines.reports.get(upstream)!);
   }
 
-  override sendCommand(_vm: VmId, command: EngineOrder): Promise<boolean> {
+  override sendCommand(_vm: VmId, command: EngineCommand): Promise<boolean> {
     const now = this.#clock.now();
     return Promise.resolve(this.#engines.take(this.#controller, command, now));
   }
--- a/test/process/bounded_log_test.ts
+++ b/test/process/rate_limited_log_test.ts
@@ -1,6 +1,6 @@
 import { Writable } from "node:stream";
 import { describe, expect, it } from "vitest";
-import { BoundedLog } from "../../src/process/bounded_log.ts";
+import { RateLimitedLog } from "../../src/process/rate_limited_log.ts";
 import { LineWriter } from "../../src/process/line_writer.ts";
 import { Log } from "../../src/process/log.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
@@ -24,7 +24,7 @@
   it("leaves routine lines out first, and says how many", async () => {
     const clock = VirtualClock.create();
     const written = new RecordingLog();
-    const log = BoundedLog.create(written, clock);
+    const log = RateLimitedLog.create(written, clock);
     for (let index = 0; index < 1_000; index++) log.info("step");
     for (let index = 0; index < 50; index++) log.warn("failure");
     expect(written.events.filter((event) => event === "step")).toHaveLength(
--- a/test/process/request_stores_test.ts
+++ b/test/process/request_stores_test.ts
@@ -5,13 +5,13 @@
 import { WindowRetryBudget } from "../../src/process/retry_budget.ts";
 import type { RequestStatus } from "../../src/request/request_status.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
-import { buildRunningRecord } from "../support/fate_examples.ts";
+import { buildRunningStatus } from "../support/request_status_examples.ts";
 
 const POOL = toId<PoolName>("pool");
 const END = { outcome: "answered" as const, code: undefined, tokens: 3 };
 
 function buildRecord(id: string): RequestStatus {
-  return buildRunningRecord(toId<RequestId>(id));
+  return buildRunningStatus(toId<RequestId>(id));
 }
 
 describe("the request status store", () => {
--- a/test/request/completion_test.ts
+++ b/test/request/completion_test.ts
@@ -285,7 +285,7 @@
     );
     for (let times = 0; times < 4; times++) {
       await clock.run(500);
-      vm.leases.leases.at(-1)!.taker.abort();
+      vm.leases.leases.at(-1)!.preemption.abort();
     }
     await clock.run(5_000);
     await done;
@@ -445,7 +445,7 @@
     const clock = VirtualClock.create();
     const vm = new RequestVm(clock);
     vm.upstreams.answer = async (call) => {
-      await clock.sleep(call.limits.firstByteMs);
+      await clock.sleep(call.timeouts.firstByteMs);
       throw createError(call, { kind: "first_byte_timeout" });
     };
     const { sink, done } = vm.send(
@@ -455,7 +455,7 @@
     await done;
     expect(sink.status).toBe(504);
     expect(sink.json.error.code).toBe("deadline_passed");
-    expect(vm.upstreams.calls.map((call) => call.limits.firstByteMs))
+    expect(vm.upstreams.calls.map((call) => call.timeouts.firstByteMs))
       .toEqual([5_000, 5_000]);
   });
 });
--- a/test/request/engine_http_test.ts
+++ b/test/request/engine_http_test.ts
@@ -81,7 +81,7 @@
 
   it("answers buffered completions, also after an engine did not start", async () => {
     const { vm, engines } = await startVm();
-    engines[0]!.core.setRefuseNext(1);
+    engines[0]!.core.refuseNextRequests(1);
     const sink = await run(vm, { ...body, stream: false });
     expect(sink.json.choices[0].text).toBe(answer.getText());
     expect(sink.json.id).toBe(sink.headers["x-request-id"]);
--- a/test/soak/soak_callers.ts
+++ b/test/soak/soak_callers.ts
@@ -5,7 +5,7 @@
  */
 import http from "node:http";
 import type { SeededRandom } from "../../src/process/random.ts";
-import { sendCall, type TestAnswer } from "../platform/caller_call.ts";
+import { sendCall, type TestAnswer } from "../platform/test_call.ts";
 import { HOST } from "../platform/configurations.ts";
 import { type SoakFleet, STANDING_KEY } from "./soak_fleet.ts";
 import type { SoakVm } from "./soak_vm.ts";
--- a/test/standin/engine_core_test.ts
+++ b/test/standin/engine_core_test.ts
@@ -199,9 +199,9 @@
     const old = { ...order, role: "prefill", fencing: 4 };
     for (const fencing of ["checked", "ignored"] as const) {
       const { engine } = createEngine({ fencing, loadLagMs: 0 });
-      expect(engine.applyOrder(order)).toBe(true);
-      expect(engine.applyOrder(order)).toBe(true);
-      expect(engine.applyOrder(old)).toBe(fencing === "ignored");
+      expect(engine.applyCommand(order)).toBe(true);
+      expect(engine.applyCommand(order)).toBe(true);
+      expect(engine.applyCommand(old)).toBe(fencing === "ignored");
       const role = fencing === "checked" ? "decode" : "prefill";
       expect(engine.getLoad().role).toBe(role);
     }
@@ -219,11 +219,11 @@
     };
     const listener = { onToken: () => {}, onEnd: () => {} };
     const startOne = () => setup.engine.startRun(buildRequest(), listener).kind;
-    setup.engine.applyOrder(order);
+    setup.engine.applyCommand(order);
     expect(startOne()).toBe("not_started");
     await setup.clock.run(100);
     expect(startOne()).toBe("accepted");
-    setup.engine.applyOrder({
+    setup.engine.applyCommand({
       ...order,
       action: "unload",
       adapter: undefined,
@@ -237,7 +237,7 @@
     const crashed = startRun(setup);
     await setup.clock.run(1_000);
     expect(crashed.run.record).toMatchObject({ tokens: 3, end: "crashed" });
-    setup.engine.startAgain();
+    setup.engine.restart();
     const stalled = startRun(setup);
     setup.engine.setStall(2_000);
     await setup.clock.run(1_999);
@@ -245,7 +245,7 @@
     await setup.clock.run(2_000);
     expect(stalled.end).toBe("stop");
     const silent = startRun(setup);
-    setup.engine.dropListeners();
+    setup.engine.silenceRunningRequests();
     const later = startRun(setup);
     await setup.clock.run(2_000);
     expect([silent.text, silent.end]).toEqual(["", undefined]);
--- a/test/support/process_calls.ts
+++ b/test/support/process_calls.ts
@@ -15,7 +15,7 @@
 const AUTHORIZATION = { authorization: `Bearer ${CALLER_KEY}` };
 
 /** One request's end. */
-export interface Ended {
+export interface CallResult {
   requestId: string | undefined;
   result: HttpResult;
   /** `unaccounted` where the connection broke or the answer is wrong. */
@@ -60,7 +60,7 @@
 export async function sendChat(
   port: number,
   options: ChatOptions,
-): Promise<Ended> {
+): Promise<CallResult> {
   const { tokens, name } = options;
   const messages = [{
     role: "user",
@@ -96,7 +96,7 @@
 export async function sendHold(
   port: number,
   options: { name: string; requestId?: string },
-): Promise<Ended> {
+): Promise<CallResult> {
   const body = JSON.stringify({ vehicle: options.name });
   const path = "/services/booking/holds";
   return await send(
@@ -106,7 +106,10 @@
 }
 
 /** Sends a look-up, whose target is one second. */
-export async function sendLookup(port: number, name: string): Promise<Ended> {
+export async function sendLookup(
+  port: number,
+  name: string,
+): Promise<CallResult> {
   const body = JSON.stringify({
     path: `/lookup/${name}`,
     slots: [`/lookup/${name}`.length, `/lookup/${name}`.length + 1],
@@ -144,7 +147,7 @@
     signal?: AbortSignal | undefined;
   },
   check: { className: string; expected: Expectation },
-): Promise<Ended> {
+): Promise<CallResult> {
   const { requestId: givenId, body, signal, ...rest } = call;
   const result = await sendCall({
     ...rest,
--- a/test/support/request_fakes.ts
+++ b/test/support/request_fakes.ts
@@ -94,7 +94,7 @@
 export class FakeLease extends HeldLease {
   readonly lease = toId<LeaseId>("lease");
   readonly priority = 7;
-  readonly taker = new AbortController();
+  readonly preemption = new AbortController();
   readonly request: LeaseRequest;
   readonly upstream: VmId;
   readonly #clock: Clock;
@@ -114,7 +114,7 @@
   }
 
   get preempted(): AbortSignal {
-    return this.taker.signal;
+    return this.preemption.signal;
   }
 
   /** What the slot was given back as. */
--- a/test/support/fate_examples.ts
+++ b/test/support/request_status_examples.ts
@@ -7,7 +7,7 @@
 import type { RequestStatus } from "../../src/request/request_status.ts";
 
 /** The record of a request that runs and has taken no step yet. */
-export function buildRunningRecord(requestId: RequestId): RequestStatus {
+export function buildRunningStatus(requestId: RequestId): RequestStatus {
   return {
     requestId,
     vm: toId<VmId>("vm-a"),
--- a/test/tool/fate_test.ts
+++ b/test/tool/request_status_test.ts
@@ -7,7 +7,7 @@
 import { formatStatusPage } from "../../src/request/request_status_page.ts";
 import type { LogFields } from "../../src/process/log.ts";
 import { formatLogLine } from "../../src/process/log_line.ts";
-import { buildStory, renderStory } from "../../src/tool/fate_story.ts";
+import { buildStory, renderStory } from "../../src/tool/request_explanation.ts";
 import type { FatePage } from "../../src/tool/operator_answers.ts";
 import { FakeVm } from "./fake_vm.ts";
 import { runWords } from "./recording_terminal.ts";
--- a/test/version/changes_test.ts
+++ b/test/version/changes_test.ts
@@ -1,10 +1,10 @@
 import { describe, expect, it } from "vitest";
 import { compareSnapshots } from "../../src/version/index.ts";
-import { buildAccepted, buildRawSet } from "./record_fixtures.ts";
-import type { RawSet } from "./record_fixtures.ts";
+import { buildAccepted, buildRawRecords } from "./record_fixtures.ts";
+import type { RawRecords } from "./record_fixtures.ts";
 
-function compareAfter(change: (set: RawSet) => void) {
-  const set = buildRawSet();
+function compareAfter(change: (set: RawRecords) => void) {
+  const set = buildRawRecords();
   const before = buildAccepted(Object.values(set));
   change(set);
   return compareSnapshots(before, buildAccepted(Object.values(set)));
--- a/test/version/conversion_test.ts
+++ b/test/version/conversion_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { parseRecord } from "../../src/version/index.ts";
-import { buildRawSet } from "./record_fixtures.ts";
+import { buildRawRecords } from "./record_fixtures.ts";
 import type { RawRecord } from "./record_fixtures.ts";
 
 const SEED = 20_253;
@@ -148,7 +148,7 @@
 describe("each field of a record arrives under its own name", () => {
   // The equality of two schemas cannot show a field that both take wrongly.
   it("for a request class", () => {
-    const { chat } = buildRawSet();
+    const { chat } = buildRawRecords();
     expect(parseRecord({ ...chat, late_is_useful: true })).toStrictEqual({
       kind: "valid",
       record: {
@@ -168,7 +168,7 @@
   });
 
   it("for a workspace", () => {
-    const { desk } = buildRawSet();
+    const { desk } = buildRawRecords();
     expect(parseRecord({ ...desk, weight: 7 })).toStrictEqual({
       kind: "valid",
       record: {
@@ -186,7 +186,7 @@
 
   it("for an upstream pool", () => {
     const timeouts = { first_byte_ms: 1, between_bytes_ms: 2, total_ms: 3 };
-    const { engines } = buildRawSet();
+    const { engines } = buildRawRecords();
     expect(parseRecord({ ...engines, timeouts, role: "prefill" }))
       .toMatchObject({ kind: "valid", record: { role: "prefill" } });
     expect(parseRecord({ ...engines, timeouts })).toStrictEqual({
@@ -206,7 +206,7 @@
   });
 
   it("for a tier and the policy", () => {
-    const { low, policy } = buildRawSet();
+    const { low, policy } = buildRawRecords();
     expect(parseRecord(low)).toStrictEqual({
       kind: "valid",
       record: { kind: "tier", name: "low", rank: 1, maxSlotShare: 0.5 },
--- a/test/version/hostile_records_test.ts
+++ b/test/version/hostile_records_test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
 import { buildSnapshot, parseRecord } from "../../src/version/index.ts";
-import { buildRawSet, findProblems } from "./record_fixtures.ts";
+import { buildRawRecords, findProblems } from "./record_fixtures.ts";
 
 const SEED = 20_252;
 const RUNS = 1_000;
@@ -24,7 +24,7 @@
     // recursive check, whose depth depends on the size of the VM's stack.
     const values = [
       buildDeepValue(DEEP),
-      { ...buildRawSet().chat, name: buildDeepValue(DEEP) },
+      { ...buildRawRecords().chat, name: buildDeepValue(DEEP) },
       JSON.parse(buildDeepText(500)),
     ];
     for (const value of values) {
@@ -35,7 +35,7 @@
   });
 
   it("are refused when they are cyclic", () => {
-    const value: Record<string, unknown> = { ...buildRawSet().chat };
+    const value: Record<string, unknown> = { ...buildRawRecords().chat };
     value.self = value;
     expect(findProblems([value])).toHaveLength(1);
   });
@@ -44,8 +44,8 @@
     const wide = Array.from({ length: 1_000_000 }, () => 1);
     const values = [
       wide,
-      { ...buildRawSet().web, classes: wide },
-      { ...buildRawSet().web, name: "a".repeat(1_000_000) },
+      { ...buildRawRecords().web, classes: wide },
+      { ...buildRawRecords().web, name: "a".repeat(1_000_000) },
     ];
     for (const value of values) {
       const [problem] = findProblems([value]);
@@ -66,7 +66,7 @@
     ];
     for (const text of texts) {
       const record = {
-        ...JSON.parse(JSON.stringify(buildRawSet().desk)),
+        ...JSON.parse(JSON.stringify(buildRawRecords().desk)),
       };
       for (const [key, value] of Object.entries(JSON.parse(text))) {
         Object.defineProperty(record, key, { value, enumerable: true });
@@ -86,7 +86,7 @@
   });
 
   it("with any one field replaced never throw", () => {
-    const set = Object.values(buildRawSet());
+    const set = Object.values(buildRawRecords());
     const places = set.flatMap((record, index) =>
       Object.keys(record).map((field) => ({ index, field }))
     );
--- a/test/version/keys_test.ts
+++ b/test/version/keys_test.ts
@@ -1,9 +1,9 @@
 import { describe, expect, it } from "vitest";
 import { computeKeyHash, findWorkspaceByKey } from "../../src/version/index.ts";
-import { buildAccepted, buildRawSet } from "./record_fixtures.ts";
+import { buildAccepted, buildRawRecords } from "./record_fixtures.ts";
 
 describe("findWorkspaceByKey", () => {
-  const snapshot = buildAccepted(Object.values(buildRawSet()));
+  const snapshot = buildAccepted(Object.values(buildRawRecords()));
 
   it("finds the workspace of each key and of nothing else", () => {
     expect(findWorkspaceByKey(snapshot, "web-key")?.name).toBe("web");
--- a/test/version/record_fixtures.ts
+++ b/test/version/record_fixtures.ts
@@ -10,10 +10,10 @@
 export type RawRecord = Record<string, unknown>;
 
 /** The name of a record in the set, which is also its place in it. */
-export type RawSet = Record<string, RawRecord>;
+export type RawRecords = Record<string, RawRecord>;
 
 /** Builds the valid set anew, so that a test may change it. */
-export function buildRawSet(): RawSet {
+export function buildRawRecords(): RawRecords {
   return {
     high: { kind: "tier", schema: 1, name: "high", rank: 0 },
     low: { kind: "tier", schema: 1, name: "low", rank: 1, max_slot_share: 0.5 },
--- a/test/version/snapshot_test.ts
+++ b/test/version/snapshot_test.ts
@@ -5,15 +5,19 @@
   DEFAULT_POLICY,
   formatProblem,
 } from "../../src/version/index.ts";
-import { buildAccepted, buildRawSet, findProblems } from "./record_fixtures.ts";
-import type { RawSet } from "./record_fixtures.ts";
+import {
+  buildAccepted,
+  buildRawRecords,
+  findProblems,
+} from "./record_fixtures.ts";
+import type { RawRecords } from "./record_fixtures.ts";
 
 const SEED = 20_251;
 const RUNS = 300;
 
 interface Fault {
   title: string;
-  change: (set: RawSet) => void;
+  change: (set: RawRecords) => void;
   /** The record and path of each problem, in order. */
   places: string[];
 }
@@ -161,7 +165,7 @@
 
 describe("buildSnapshot", () => {
   it("accepts both schema versions side by side", () => {
-    const snapshot = buildAccepted(Object.values(buildRawSet()));
+    const snapshot = buildAccepted(Object.values(buildRawRecords()));
     expect([...snapshot.classes.keys()]).toEqual(["chat", "hold"]);
     expect(snapshot.classes.get("chat" as never)?.objective).toBe(0.95);
     expect(snapshot.workspaces.get("desk" as never)?.objectives)
@@ -171,12 +175,12 @@
   });
 
   it("takes the default policy where the records hold none", () => {
-    const { policy: _, ...set } = buildRawSet();
+    const { policy: _, ...set } = buildRawRecords();
     expect(buildAccepted(Object.values(set)).policy).toEqual(DEFAULT_POLICY);
   });
 
   it("accepts minimum shares of exactly a half", () => {
-    const set = buildRawSet();
+    const set = buildRawRecords();
     Object.assign(set.chat ?? {}, { min_share: 0.1 });
     Object.assign(set.hold ?? {}, { min_share: 0.4 });
     expect(findProblems(Object.values(set))).toEqual([]);
@@ -186,7 +190,7 @@
     // Symptom: records that add up to the bound are rejected. Sequence: a tier
     // capped at 0.3 has classes of 0.1 and 0.2. Cause: 0.1 + 0.2 > 0.3 in
     // floating point.
-    const set = buildRawSet();
+    const set = buildRawRecords();
     Object.assign(set.low ?? {}, { max_slot_share: 0.3 });
     Object.assign(set.chat ?? {}, { tier: "low", min_share: 0.1 });
     Object.assign(set.hold ?? {}, { min_share: 0.2 });
@@ -205,7 +209,7 @@
   });
 
   it.each(FAULTS)("names record and path: $title", ({ change, places }) => {
-    const set = buildRawSet();
+    const set = buildRawRecords();
     change(set);
     const problems = findProblems(Object.values(set));
     expect(problems.map(({ name, path }) => `${name} ${path}`)).toEqual(places);
@@ -223,7 +227,7 @@
     const order = fc.array(fc.integer(), { minLength: 12, maxLength: 12 });
     fc.assert(
       fc.property(faults, order, (chosen, ranks) => {
-        const set = buildRawSet();
+        const set = buildRawRecords();
         for (const { change } of chosen) change(set);
         const records = Object.values(set);
         const shuffled = records
