--- a/src/process/burn_recorder.ts
+++ b/src/process/burn_recorder.ts
@@ -1,6 +1,5 @@
 /**
- * Gathers one VM's figures for the report on service-level burn, in memory of a
- * fixed bound.
+ * Collects one VM's statistics for the error budget report, in bounded memory.
  *
  * @module
  */
@@ -24,26 +23,26 @@
 import type { FinishedRequest } from "./services.ts";
 import { SlidingHistogram } from "./sliding_histogram.ts";
 
-/** Counts held in all; about 20 MB at most. */
+/** Maximum number of stored counts, about 20 MB. */
 const MAX_COUNTS = 100_000;
-/** Classes of workspaces held; each costs a few tens of kilobytes. */
+/** Maximum number of entries, at a few tens of kilobytes each. */
 const MAX_ENTRIES = 1_000;
-/** Causes held for one class of one workspace. */
+/** Maximum number of causes per entry. */
 const MAX_CAUSES = 32;
 const OTHER_CAUSE = "other";
-/** Long slots, since each histogram costs a few kilobytes. */
+/** Few, long slots: each histogram takes a few kilobytes. */
 const HISTOGRAM_SLOT_MS = 1_200_000;
 const HISTOGRAM_SLOTS = 3;
-const COARSE_SLOTS_OF_AN_HOUR = 12;
+const COARSE_SLOTS_PER_HOUR = 12;
 
-/** Counts by entry, in slots of time. */
+/** Counts by entry in time slots. */
 class TimeSlots {
   readonly #widthMs: number;
   readonly #depth: number;
   readonly #slots = new Map<number, Map<EntryState, BurnCounts>>();
   #size = 0;
-  /** The oldest slot of which all is held. */
-  #oldestHeld = -Infinity;
+  /** Oldest slot whose counts are complete. */
+  #oldestComplete = -Infinity;
 
   constructor(widthMs: number, depth: number) {
     this.#widthMs = widthMs;
@@ -54,9 +53,9 @@
     return this.#size;
   }
 
-  add(entry: EntryState, figures: { result: Result; now: number }): void {
-    const slot = this.getSlot(figures.now);
-    this.dropOld(figures.now);
+  add(entry: EntryState, request: { result: Result; now: number }): void {
+    const slot = this.getSlot(request.now);
+    this.dropOld(request.now);
     const row = this.#slots.get(slot) ?? new Map<EntryState, BurnCounts>();
     this.#slots.set(slot, row);
     let counts = row.get(entry);
@@ -65,24 +64,24 @@
       row.set(entry, counts);
       this.#size++;
     }
-    counts[figures.result]++;
+    counts[request.result]++;
   }
 
   getSlot(now: number): number {
     return Math.floor(now / this.#widthMs);
   }
 
-  /** Forgets what is out of reach. */
+  /** Drops the slots that are older than the retention period. */
   dropOld(now: number): void {
     const oldest = this.getSlot(now) - this.#depth;
     for (const slot of this.#slots.keys()) {
-      // Slots stand in the order of time.
+      // The map's keys are in order of time.
       if (slot > oldest) return;
       this.#dropSlot(slot);
     }
   }
 
-  /** Forgets the oldest slot; false when none may go. */
+  /** Drops the oldest slot; false if it is the only one, which is kept. */
   dropOldest(): boolean {
     const [slot] = this.#slots.keys();
     if (slot === undefined || this.#slots.size === 1) return false;
@@ -90,15 +89,17 @@
     return true;
   }
 
-  /** How far back all is held, in milliseconds. An idle time counts as held:
-   * that nothing came is known of it. */
+  /**
+   * How far back the counts are complete, in milliseconds. Periods without
+   * requests count as complete.
+   */
   getReach(now: number, startedAt: number): number {
     const inDepth = this.getSlot(now) - this.#depth + 1;
-    const oldest = Math.max(this.#oldestHeld, inDepth);
+    const oldest = Math.max(this.#oldestComplete, inDepth);
     return now - Math.max(startedAt, oldest * this.#widthMs);
   }
 
-  /** Each entry's counts by how many slots ago they were. */
+  /** Collects each entry's counts by age in slots. */
   collect(now: number): Map<EntryState, Map<number, BurnCounts>> {
     const current = this.getSlot(now);
     const byEntry = new Map<EntryState, Map<number, BurnCounts>>();
@@ -115,20 +116,20 @@
   #dropSlot(slot: number): void {
     this.#size -= this.#slots.get(slot)?.size ?? 0;
     this.#slots.delete(slot);
-    this.#oldestHeld = slot + 1;
+    this.#oldestComplete = slot + 1;
   }
 }
 
 type Result = FinishedRequest["result"];
 
-/** A cause with what is needed to know its last hour. */
+/** A cause and its recent counts. */
 interface CauseState {
   cause: BurnCause;
-  /** Counts by coarse slot, the last hour's only. */
+  /** Counts by coarse slot, of the last hour only. */
   recent: Map<number, number>;
 }
 
-/** What is held of one class of one workspace. */
+/** Statistics of one class of one workspace. */
 interface EntryState {
   workspace: WorkspaceName;
   className: ClassName;
@@ -139,7 +140,7 @@
   wastedTokens: number;
 }
 
-/** Gathers finished requests. */
+/** Records finished requests. */
 export class BurnRecorder {
   readonly #clock: Clock;
   readonly #startedAt: number;
@@ -156,24 +157,24 @@
     return new BurnRecorder(clock);
   }
 
-  record(figures: FinishedRequest): void {
+  record(request: FinishedRequest): void {
     const now = this.#clock.now();
-    const entry = this.#findEntry(figures);
-    this.#fine.add(entry, { result: figures.result, now });
-    this.#coarse.add(entry, { result: figures.result, now });
+    const entry = this.#findEntry(request);
+    this.#fine.add(entry, { result: request.result, now });
+    this.#coarse.add(entry, { result: request.result, now });
     this.#dropExcess();
-    entry.tokens += figures.tokens;
-    entry.wastedTokens += figures.wastedTokens;
-    if (figures.firstTokenMs !== undefined) {
-      entry.firstToken.record(figures.firstTokenMs);
+    entry.tokens += request.tokens;
+    entry.wastedTokens += request.wastedTokens;
+    if (request.firstTokenMs !== undefined) {
+      entry.firstToken.record(request.firstTokenMs);
     }
-    if (figures.result === "met" || figures.result === "late") {
-      entry.total.record(figures.totalMs);
+    if (request.result === "met" || request.result === "late") {
+      entry.total.record(request.totalMs);
     }
-    this.#recordCause(entry, figures);
+    this.#recordCause(entry, request);
   }
 
-  /** Everything held now, in a form that can be sent and merged. */
+  /** Collects all statistics in a form that can be sent and merged. */
   collect(): BurnSeries {
     const now = this.#clock.now();
     this.#fine.dropOld(now);
@@ -200,19 +201,19 @@
     };
   }
 
-  #findEntry(figures: FinishedRequest): EntryState {
-    const { workspace, className } = figures;
+  #findEntry(request: FinishedRequest): EntryState {
+    const { workspace, className } = request;
     const key = JSON.stringify([workspace, className]);
     const known = this.#entries.get(key);
     if (known !== undefined) {
-      // Kept in the order of last use, so that the idle go first.
+      // In order of last use, so that the least recently used is evicted.
       this.#entries.delete(key);
       this.#entries.set(key, known);
       return known;
     }
     if (this.#entries.size >= MAX_ENTRIES) {
-      const [idle] = this.#entries.keys();
-      this.#entries.delete(idle!);
+      const [oldest] = this.#entries.keys();
+      this.#entries.delete(oldest!);
     }
     const entry = this.#createEntry(workspace, className);
     this.#entries.set(key, entry);
@@ -236,7 +237,7 @@
     };
   }
 
-  /** Without a bound, many workspaces over three days would fill the VM. */
+  /** Bounds memory: many workspaces over three days would exhaust it. */
   #dropExcess(): void {
     while (this.#fine.size + this.#coarse.size > MAX_COUNTS) {
       const slots = this.#coarse.size > this.#fine.size
@@ -246,30 +247,30 @@
     }
   }
 
-  #recordCause(entry: EntryState, figures: FinishedRequest): void {
-    const { result } = figures;
+  #recordCause(entry: EntryState, request: FinishedRequest): void {
+    const { result } = request;
     if (result === "met" || result === "cancelled") return;
-    const state = this.#findCause(entry, { ...figures, result });
+    const state = this.#findCause(entry, { ...request, result });
     const slot = this.#coarse.getSlot(this.#clock.now());
     this.#dropOldCounts(state, slot);
     state.recent.set(slot, (state.recent.get(slot) ?? 0) + 1);
     state.cause.total++;
     state.cause.examples = [
-      figures.requestId,
+      request.requestId,
       ...state.cause.examples,
     ].slice(0, MAX_EXAMPLES);
   }
 
   #findCause(
     entry: EntryState,
-    figures: FinishedRequest & { result: BurnCause["result"] },
+    request: FinishedRequest & { result: BurnCause["result"] },
   ): CauseState {
     const isFull = entry.causes.size >= MAX_CAUSES;
-    const { result } = figures;
+    const { result } = request;
     const exact = {
-      step: figures.step,
-      pool: String(figures.pool ?? ""),
-      upstream: String(figures.upstream ?? ""),
+      step: request.step,
+      pool: String(request.pool ?? ""),
+      upstream: String(request.upstream ?? ""),
     };
     const other = { step: OTHER_CAUSE, pool: "", upstream: "" };
     const exactKey = JSON.stringify([result, exact]);
@@ -296,7 +297,7 @@
 
   #dropOldCounts(state: CauseState, slot: number): void {
     for (const old of state.recent.keys()) {
-      if (old <= slot - COARSE_SLOTS_OF_AN_HOUR) state.recent.delete(old);
+      if (old <= slot - COARSE_SLOTS_PER_HOUR) state.recent.delete(old);
     }
   }
 }
--- a/src/process/burn_stats.ts
+++ b/src/process/burn_stats.ts
@@ -1,8 +1,8 @@
 /**
- * The figures behind the report on service-level burn: what each VM gathers,
- * sends and merges. Times are ages, counted in buckets back from the moment of
- * sampling: the VMs' clocks need not agree. Merging VMs is therefore off by up
- * to one bucket.
+ * Statistics for the error budget report, which each VM collects and which are
+ * merged. Times are ages in buckets, counted back from the time of sampling, so
+ * that the VMs' clocks need not agree. Merging is therefore inexact by up to
+ * one bucket.
  *
  * @module
  */
@@ -10,16 +10,16 @@
 import { compareStrings } from "../version/record_problem.ts";
 import { mergeEncoded } from "./latency_histogram.ts";
 
-/** Width of the buckets of the last hour. */
+/** Width of the fine buckets, which cover the last hour. */
 export const FINE_BUCKET_MS = 10_000;
-/** Buckets of the last hour. */
+/** Number of fine buckets. */
 export const FINE_BUCKETS = 360;
-/** Width of the buckets of the last three days. */
+/** Width of the coarse buckets, which cover the last three days. */
 export const COARSE_BUCKET_MS = 300_000;
-/** Buckets of the last three days. */
+/** Number of coarse buckets. */
 export const COARSE_BUCKETS = 864;
 
-/** Example request ids that are kept for each cause. */
+/** Maximum number of example request ids for each cause. */
 export const MAX_EXAMPLES = 3;
 
 const FORMAT_VERSION = 1;
@@ -27,7 +27,7 @@
 
 const BUCKETS_SCHEMA = z.object({
   widthMs: z.int().positive(),
-  /** How many buckets ago; 0 is the one that was not over yet. */
+  /** Ages in buckets; 0 is the bucket that was not complete yet. */
   ago: COUNTS,
   met: COUNTS,
   late: COUNTS,
@@ -37,7 +37,7 @@
 }).refine(
   (buckets) =>
     RESULTS.every((result) => buckets[result].length === buckets.ago.length),
-  "columns of one length",
+  "columns of equal length",
 );
 
 const CAUSE_SCHEMA = z.object({
@@ -45,7 +45,7 @@
   step: z.string(),
   pool: z.string(),
   upstream: z.string(),
-  /** Requests in the last hour, and in all that is held. */
+  /** Number of requests in the last hour, and in total. */
   lastHour: z.int().nonnegative(),
   total: z.int().nonnegative(),
   /** Newest first. */
@@ -58,7 +58,7 @@
   fine: BUCKETS_SCHEMA,
   coarse: BUCKETS_SCHEMA,
   causes: z.array(CAUSE_SCHEMA),
-  /** Of the last hour, as `LatencyHistogram.encode` writes them. */
+  /** Of the last hour, encoded by `LatencyHistogram.encode`. */
   firstToken: z.string(),
   total: z.string(),
   tokens: z.int().nonnegative(),
@@ -67,22 +67,26 @@
 
 const SERIES_SCHEMA = z.object({
   formatVersion: z.literal(FORMAT_VERSION),
-  /** How long the VM has gathered; the longest where several are merged. */
+  /** Time since the VM began to record; the longest if several are merged. */
   gatheredMs: z.number().nonnegative(),
-  /** How far back the buckets reach: less than `gatheredMs` where some fell
-   * to the bound on memory. */
+  /**
+   * How far back the buckets are complete: less than `gatheredMs` if some were
+   * dropped to bound memory.
+   */
   reachMs: z.number().nonnegative(),
-  /** As `reachMs`, for the buckets of the last hour; of one VM only. */
+  /** As `reachMs`, for the fine buckets; only for a single VM. */
   fineReachMs: z.number().nonnegative().optional(),
-  /** Age of the start of the coarse bucket that was not over yet: tells which
-   * buckets of two samples of one VM are the same; of one VM only. */
+  /**
+   * Age of the start of the incomplete coarse bucket, which aligns the buckets
+   * of two samples of a VM; only for a single VM.
+   */
   phaseMs: z.number().nonnegative().optional(),
   entries: z.array(ENTRY_SCHEMA),
 });
 
-/** How a request ended, for the budget. */
+/** Result of a request, as it counts for the error budget. */
 export type BurnResult = "met" | "late" | "refused" | "lost" | "cancelled";
-/** Every result, in the order of the columns. */
+/** All results, in the order of the columns. */
 export const RESULTS: readonly BurnResult[] = [
   "met",
   "late",
@@ -90,19 +94,19 @@
   "lost",
   "cancelled",
 ];
-/** Counts of one width, a column for each result. */
+/** Counts in buckets of one width, with a column for each result. */
 export type BurnBuckets = z.infer<typeof BUCKETS_SCHEMA>;
-/** Why part of a budget burnt. */
+/** A cause of missed objectives. */
 export type BurnCause = z.infer<typeof CAUSE_SCHEMA>;
-/** Everything about one class of one workspace. */
+/** Statistics of one class of one workspace. */
 export type BurnEntry = z.infer<typeof ENTRY_SCHEMA>;
-/** The figures of one VM, or of several merged. */
+/** Statistics of one VM, or of several merged. */
 export type BurnSeries = z.infer<typeof SERIES_SCHEMA>;
 
-/** Counts by result over a span of time. */
+/** Counts by result over a period. */
 export type BurnCounts = Record<BurnResult, number>;
 
-/** Figures with nothing in them. */
+/** Creates empty statistics. */
 export function createSeries(): BurnSeries {
   return {
     formatVersion: FORMAT_VERSION,
@@ -113,14 +117,14 @@
 }
 
 /**
- * Checks figures that came from elsewhere; undefined where they are of another
- * form, for example of a VM that runs another release.
+ * Parses received statistics; undefined if they have another format, for
+ * example that of a VM with another release.
  */
 export function parseSeries(value: unknown): BurnSeries | undefined {
   return SERIES_SCHEMA.safeParse(value).data;
 }
 
-/** Merges the figures of several VMs, gathered at one moment. */
+/** Merges the statistics of several VMs, sampled at the same time. */
 export function mergeSeries(parts: readonly BurnSeries[]): BurnSeries {
   const merged = createSeries();
   const groups = new Map<string, BurnEntry[]>();
@@ -139,7 +143,7 @@
   return merged;
 }
 
-/** Sums the buckets of the last `windowMs`. */
+/** Sums the buckets of the last `windowMs` milliseconds. */
 export function countWindow(entry: BurnEntry, windowMs: number): BurnCounts {
   const isFine = windowMs <= FINE_BUCKETS * FINE_BUCKET_MS;
   const buckets = isFine ? entry.fine : entry.coarse;
@@ -166,7 +170,7 @@
   };
 }
 
-/** Buckets from counts by how many buckets ago they were. */
+/** Builds buckets from counts by age in buckets. */
 export function buildBuckets(
   widthMs: number,
   countsByAgo: ReadonlyMap<number, BurnCounts>,
@@ -196,7 +200,7 @@
   return buildBuckets(parts[0]!.widthMs, sums);
 }
 
-/** Counts that are all 0. */
+/** Creates counts that are all 0. */
 export function createCounts(): BurnCounts {
   return { met: 0, late: 0, refused: 0, lost: 0, cancelled: 0 };
 }
@@ -219,7 +223,7 @@
   return [...merged.values()].sort(compareCauses);
 }
 
-/** Orders causes by how much they burn, the worst first. */
+/** Compares causes by their number of requests, the most frequent first. */
 export function compareCauses(left: BurnCause, right: BurnCause): number {
   return right.lastHour - left.lastHour || right.total - left.total ||
     compareStrings(left.step, right.step);
--- a/src/process/clock.ts
+++ b/src/process/clock.ts
@@ -1,20 +1,20 @@
 /**
- * Time, injected, so that the code that serves also runs in virtual time.
+ * Injected clock, so that the same code also runs in virtual time.
  *
  * @module
  */
 import { performance } from "node:perf_hooks";
 
-/** Stops a timer; harmless after it has fired. */
+/** Cancels a timer; has no effect after it has fired. */
 export type CancelTimer = () => void;
 
-/** A source of time. All durations are milliseconds. */
+/** Clock. All durations are in milliseconds. */
 export abstract class Clock {
-  /** Monotonic time in milliseconds; only differences mean anything. */
+  /** Monotonic time in milliseconds; only differences are meaningful. */
   abstract now(): number;
-  /** Calendar time in milliseconds since 1970, for logs and reports only. */
+  /** Wall-clock time in milliseconds since 1970, for logs and reports only. */
   abstract wallTime(): number;
-  /** Runs `callback` once, `ms` from now. */
+  /** Calls `callback` once after `ms`. */
   abstract startTimer(ms: number, callback: () => void): CancelTimer;
 
   /** Resolves after `ms`, or at once when `signal` aborts. Never rejects. */
@@ -34,7 +34,7 @@
   }
 }
 
-/** The machine's own time. */
+/** The system clock. */
 export class SystemClock extends Clock {
   static create(): SystemClock {
     return new SystemClock();
--- a/src/process/configuration_deltas.ts
+++ b/src/process/configuration_deltas.ts
@@ -1,96 +1,99 @@
 /**
- * The steps from one accepted content of the records to the next.
+ * Deltas between accepted versions of the configuration's records.
  *
- * A change touches few records of many. Handed on whole, each change would cost
- * every VM all records' bytes, several times what control may take in a large
- * fleet; so peers hand on the steps that the asker is missing.
+ * An update changes few of many records. Sending all records to every VM at
+ * each update would take several times the bandwidth allowed for control
+ * traffic in a large fleet, so peers send the deltas that the requester lacks.
  *
  * @module
  */
 import type { ConfigurationDelta, RecordSplice } from "./peer_api.ts";
 
-/** Steps kept, and records in all of them. */
-const MAX_STEPS = 64;
-const MAX_STEP_RECORDS = 2_000;
-/** A step that replaces more of the records than this is not kept. */
-const MAX_SHARE = 0.5;
+/** Maximum number of stored deltas, and of records in all of them. */
+const MAX_DELTAS = 64;
+const MAX_DELTA_RECORDS = 2_000;
+/** A delta that replaces a larger share of the records is not stored. */
+const MAX_CHANGED_SHARE = 0.5;
 const MAX_RECORDS = 100_000;
 
-/** Records with their digest. */
+/** Records of a configuration and their digest. */
 export interface Content {
   records: unknown[];
   digest: string;
 }
 
-/** The latest steps, oldest first, each from the digest that it needs. */
+/** The latest deltas, oldest first; each applies to one digest. */
 export class DeltaHistory {
-  #steps: ConfigurationDelta[] = [];
+  #deltas: ConfigurationDelta[] = [];
 
   static create(): DeltaHistory {
     return new DeltaHistory();
   }
 
-  /** Notes that `to` replaced `from`. */
+  /** Adds the delta from `from` to `to`. */
   add(from: Content, to: Content): void {
     const splices = computeSplices(from.records, to.records);
     const count = splices.reduce((sum, { add }) => sum + add.length, 0);
-    // Without the step the chain is broken; those before it lead nowhere.
-    const isLarge = count > MAX_SHARE * to.records.length;
-    if (isLarge || count > MAX_STEP_RECORDS) {
-      this.#steps = [];
+    // Without this delta the chain is broken, and the older ones are useless.
+    const isLarge = count > MAX_CHANGED_SHARE * to.records.length;
+    if (isLarge || count > MAX_DELTA_RECORDS) {
+      this.#deltas = [];
       return;
     }
-    this.#steps.push({ from: from.digest, to: to.digest, splices });
+    this.#deltas.push({ from: from.digest, to: to.digest, splices });
     this.#dropOld();
   }
 
-  /** The steps from `digest` to the newest content, if all are held. */
+  /** Lists the deltas from `digest` to the newest content, if stored. */
   listFrom(digest: string): ConfigurationDelta[] | undefined {
-    // The latest one counts: contents of one version can go to and fro.
-    const first = this.#steps.findLastIndex((step) => step.from === digest);
-    return first < 0 ? undefined : this.#steps.slice(first);
+    // A content can become active twice if a version is published repeatedly,
+    // so the chain starts at its latest delta.
+    const first = this.#deltas.findLastIndex((delta) => delta.from === digest);
+    return first < 0 ? undefined : this.#deltas.slice(first);
   }
 
   #dropOld(): void {
-    let left = MAX_STEP_RECORDS;
+    let remaining = MAX_DELTA_RECORDS;
     let keep = 0;
-    for (const step of this.#steps.toReversed()) {
-      left -= step.splices.reduce((sum, { add }) => sum + add.length, 0);
-      if (left < 0 || keep >= MAX_STEPS) break;
+    for (const delta of this.#deltas.toReversed()) {
+      remaining -= delta.splices.reduce((sum, { add }) => sum + add.length, 0);
+      if (remaining < 0 || keep >= MAX_DELTAS) break;
       keep += 1;
     }
-    this.#steps = this.#steps.slice(this.#steps.length - keep);
+    this.#deltas = this.#deltas.slice(this.#deltas.length - keep);
   }
 }
 
 /**
- * The records after `steps` and the digest that they should have; undefined
- * where the steps do not fit what is there. They come from another VM, so
- * nothing of their shape is taken for granted.
+ * Applies deltas. Returns the resulting records and the digest stated for them,
+ * or undefined if the deltas do not apply. They come from another VM, so their
+ * shape is checked.
  */
 export function applyDeltas(
   content: Content,
-  steps: unknown,
+  deltas: unknown,
 ): Content | undefined {
-  if (!Array.isArray(steps) || steps.length === 0) return undefined;
+  if (!Array.isArray(deltas) || deltas.length === 0) return undefined;
   let { digest } = content;
   let records = [...content.records];
-  for (const step of steps as Partial<ConfigurationDelta>[]) {
-    if (step?.from !== digest || typeof step.to !== "string") return undefined;
-    const next = applySplices(records, step.splices);
+  for (const delta of deltas as Partial<ConfigurationDelta>[]) {
+    if (delta?.from !== digest || typeof delta.to !== "string") {
+      return undefined;
+    }
+    const next = applySplices(records, delta.splices);
     if (next === undefined) return undefined;
     records = next;
-    digest = step.to;
+    digest = delta.to;
   }
   return { records, digest };
 }
 
-/** `records` with each that stands in `known` too replaced by that object. */
+/** Returns `records` with the equal objects of `known` reused. */
 export function mergeRecords(
   known: readonly unknown[],
   records: readonly unknown[],
 ): unknown[] {
-  const { start, end } = findMiddle(known, records);
+  const { start, end } = countCommonEnds(known, records);
   const length = known.length - end - start;
   const isSameLength = records.length - end - start === length;
   return records.map((record, index) => {
@@ -103,12 +106,12 @@
   });
 }
 
-/** What turns `from` into `to`, from the last place to the first. */
+/** Computes the splices that convert `from` into `to`. */
 function computeSplices(
   from: readonly unknown[],
   to: readonly unknown[],
 ): RecordSplice[] {
-  const { start, end } = findMiddle(from, to);
+  const { start, end } = countCommonEnds(from, to);
   const removed = from.length - end - start;
   const added = to.slice(start, to.length - end);
   if (removed !== added.length) {
@@ -119,17 +122,17 @@
     .filter(({ at, add: [record] }) => !isSame(from[at], record));
 }
 
-/** How many records are the same at the start and at the end. */
-function findMiddle(
+/** Counts the equal records at the start and at the end. */
+function countCommonEnds(
   from: readonly unknown[],
   to: readonly unknown[],
 ): { start: number; end: number } {
-  const most = Math.min(from.length, to.length);
+  const max = Math.min(from.length, to.length);
   let start = 0;
-  while (start < most && isSame(from[start], to[start])) start += 1;
+  while (start < max && isSame(from[start], to[start])) start += 1;
   let end = 0;
   while (
-    end < most - start &&
+    end < max - start &&
     isSame(from[from.length - 1 - end], to[to.length - 1 - end])
   ) end += 1;
   return { start, end };
@@ -147,10 +150,11 @@
   const next = [...records];
   for (const splice of splices as Partial<RecordSplice>[]) {
     const { at, remove, add } = splice ?? {};
-    const fits = Number.isSafeInteger(at) && Number.isSafeInteger(remove) &&
+    const isApplicable = Number.isSafeInteger(at) &&
+      Number.isSafeInteger(remove) &&
       at! >= 0 && remove! >= 0 && at! + remove! <= next.length &&
       Array.isArray(add) && next.length + add.length <= MAX_RECORDS;
-    if (!fits) return undefined;
+    if (!isApplicable) return undefined;
     next.splice(at!, remove!, ...add!);
   }
   return next;
--- a/src/process/configuration_directory_source.ts
+++ b/src/process/configuration_directory_source.ts
@@ -1,6 +1,6 @@
 /**
- * Reads configurations from a directory of JSON files, so that one VM runs
- * without a platform.
+ * Reads configurations from a directory of JSON files, to run a VM without the
+ * platform's services.
  *
  * @module
  */
@@ -17,9 +17,9 @@
   parseMembershipText,
 } from "./configuration_source.ts";
 
-const POLL_MS = 1_000;
+const POLL_INTERVAL_MS = 1_000;
 
-/** `index.json`, `groups/NAME/VERSION.json` and `membership.json`. */
+/** Reads `index.json`, `groups/NAME/VERSION.json` and `membership.json`. */
 export class DirectorySource extends ConfigurationSource {
   readonly #directory: string;
   readonly #clock: Clock;
@@ -41,18 +41,18 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<RecordIndex | undefined> {
-    const place = { step: "fetch_index", peer: this.#directory };
+    const context = { step: "fetch_index", peer: this.#directory };
     const readIndex = async () => {
-      const text = await this.#read("index.json", place.step);
-      return parseIndexText(text, after, place);
+      const text = await this.#read("index.json", context.step);
+      return parseIndexText(text, after, context);
     };
     return this.#readUntil(readIndex, waitMs, signal);
   }
 
   async fetchGroup(name: string, version: number): Promise<unknown[]> {
     const path = join("groups", name, `${version}.json`);
-    const place = { step: "fetch_group", peer: this.#directory };
-    return parseGroupText(await this.#read(path, place.step), place);
+    const context = { step: "fetch_group", peer: this.#directory };
+    return parseGroupText(await this.#read(path, context.step), context);
   }
 
   fetchMembership(
@@ -60,10 +60,10 @@
     waitMs: number,
     signal: AbortSignal,
   ): Promise<unknown | undefined> {
-    const place = { step: "fetch_membership", peer: this.#directory };
+    const context = { step: "fetch_membership", peer: this.#directory };
     const readList = async () => {
-      const text = await this.#read("membership.json", place.step);
-      return parseMembershipText(text, after, place);
+      const text = await this.#read("membership.json", context.step);
+      return parseMembershipText(text, after, context);
     };
     return this.#readUntil(readList, waitMs, signal);
   }
@@ -77,9 +77,9 @@
     while (true) {
       const value = await readOnce();
       if (value !== undefined || signal.aborted) return value;
-      const leftMs = endsAt - this.#clock.now();
-      if (leftMs <= 0) return undefined;
-      await this.#clock.sleep(Math.min(POLL_MS, leftMs), signal);
+      const remainingMs = endsAt - this.#clock.now();
+      if (remainingMs <= 0) return undefined;
+      await this.#clock.sleep(Math.min(POLL_INTERVAL_MS, remainingMs), signal);
     }
   }
 
@@ -89,7 +89,7 @@
       try {
         const { size } = await file.stat();
         if (size > MAX_VALUE_BYTES) {
-          throw new Error("The value is over a megabyte");
+          throw new Error("The value is larger than 1 MiB");
         }
         return await file.readFile("utf8");
       } finally {
--- a/src/process/configuration_exchange.ts
+++ b/src/process/configuration_exchange.ts
@@ -1,26 +1,26 @@
 /**
- * What probes carry of the configuration and of the membership list.
+ * Exchange of configuration and membership list versions on probes.
  *
  * @module
  */
 import type { VmId } from "../ids.ts";
 
-/** The versions that a VM has. */
+/** Versions of a VM's configuration and membership list. */
 export interface PeerVersions {
   configVersion: number;
   configDigest?: string | undefined;
-  /** From whom the VM has that version. */
+  /** Source from which the VM received the version. */
   configFrom?: string | undefined;
   listRevision: number;
-  /** Time since that list was last known to be the newest published. */
+  /** Time since the list was last known to be the newest published one. */
   listAgeMs?: number | undefined;
 }
 
-/** Gives this VM's versions and hears of the others'. */
+/** Provides this VM's versions and receives those of its peers. */
 export abstract class VersionExchange {
   abstract getVersions(): PeerVersions;
-  /** Resolves once what `vm` has newer was fetched, or could not be. */
+  /** Resolves when anything newer that `vm` has is fetched or has failed. */
   abstract notePeerVersions(vm: VmId, versions: PeerVersions): Promise<void>;
-  /** Calls `callback` when a new version should reach others at once. */
+  /** Calls `callback` when a new version should be sent to peers at once. */
   abstract onNewVersion(callback: () => void): void;
 }
--- a/src/process/configuration_follower.ts
+++ b/src/process/configuration_follower.ts
@@ -1,5 +1,5 @@
 /**
- * Keeps this VM at the newest accepted configuration and membership list.
+ * Keeps this VM's configuration and membership list up to date.
  *
  * @module
  */
@@ -18,8 +18,8 @@
 } from "./configuration_exchange.ts";
 import { ConfigurationGroups } from "./configuration_groups.ts";
 import {
-  PeerVersionBook,
   type PeerVersionEntry,
+  PeerVersionTable,
 } from "./configuration_peers.ts";
 import { PeerPuller } from "./configuration_puller.ts";
 import { SourceReader } from "./configuration_reader.ts";
@@ -28,8 +28,8 @@
   getRevision,
 } from "./configuration_source.ts";
 import {
+  type ConfigurationCandidate,
   ConfigurationStore,
-  type Offer,
   type VersionEntry,
   type VersionOrigin,
 } from "./configuration_store.ts";
@@ -37,18 +37,18 @@
 import type { FleetMembership } from "./fleet_membership.ts";
 import type { SnapshotAnswer, SnapshotCall } from "./peer_api.ts";
 
-/** What a follower needs. */
+/** Options of `ConfigurationFollower`. */
 export interface FollowerOptions {
   environment: Environment;
   source: ConfigurationSource;
   membership: FleetMembership;
-  /** VMs to ask first after a start, before any list is known. */
+  /** VMs to fetch from after a start, before any list is known. */
   seeds: readonly VmId[];
-  /** How decisions name the source. */
+  /** Name of the source in the version history. */
   sourceName?: string;
 }
 
-/** Which version this VM has, since when and from whom, and the others. */
+/** Version and origin of this VM's configuration, and the peers' versions. */
 export interface VersionReport {
   vm: VmId;
   /** 0 before the first. */
@@ -59,12 +59,12 @@
   listRevision: number;
   viewAgeMs: number;
   isWatcher: boolean;
-  /** The latest decisions, oldest first. */
+  /** Latest decisions, oldest first. */
   history: VersionEntry[];
   peers: PeerVersionEntry[];
 }
 
-/** Follows the source and the peers; only ever goes forward. */
+/** Follows the source and the peers. Versions and revisions never decrease. */
 export class ConfigurationFollower extends VersionExchange {
   readonly #environment: Environment;
   readonly #membership: FleetMembership;
@@ -73,13 +73,13 @@
   readonly #reader: SourceReader;
   readonly #puller: PeerPuller;
   readonly #sourceName: string;
-  readonly #peers: PeerVersionBook;
+  readonly #peerVersions: PeerVersionTable;
   readonly #snapshotCallbacks: ((snapshot: Snapshot) => void)[] = [];
   readonly #listCallbacks: ((list: MembershipList) => void)[] = [];
   readonly #newVersionCallbacks: (() => void)[] = [];
   #rawList: unknown | undefined;
-  /** False once steps did not fit, until records were taken in. */
-  #takesSteps = true;
+  /** False after deltas did not apply, until full records are received. */
+  #acceptsDeltas = true;
 
   constructor(options: FollowerOptions) {
     super();
@@ -88,14 +88,14 @@
     this.#membership = membership;
     this.#sourceName = options.sourceName ?? "service";
     this.#store = ConfigurationStore.create(environment.clock);
-    this.#peers = PeerVersionBook.create({ environment, membership });
+    this.#peerVersions = PeerVersionTable.create({ environment, membership });
     this.#groups = ConfigurationGroups.create(source);
     this.#puller = PeerPuller.create({
       environment,
       membership,
       seeds,
       getVersions: () => this.getVersions(),
-      takesSteps: () => this.#takesSteps,
+      acceptsDeltas: () => this.#acceptsDeltas,
       onAnswer: (vm, answer) => this.#handleAnswer(vm, answer),
     });
     this.#reader = SourceReader.create({
@@ -112,7 +112,7 @@
     return new ConfigurationFollower(options);
   }
 
-  /** Starts the task: peers first, then the source, then both for good. */
+  /** Starts the task: fetches from peers first, then follows both. */
   start(): void {
     void this.#run();
   }
@@ -122,27 +122,27 @@
     this.#puller.stop();
   }
 
-  /** The configuration in force; undefined before the first. */
+  /** The active configuration; undefined before the first. */
   getSnapshot(): Snapshot | undefined {
     return this.#store.getSnapshot();
   }
 
-  /** The membership list in force. */
+  /** The active membership list. */
   getList(): MembershipList {
     return this.#membership.getList();
   }
 
-  /** Whether there is a configuration to serve by. */
+  /** Whether a configuration is active. */
   isReady(): boolean {
     return this.#store.getSnapshot() !== undefined;
   }
 
-  /** Calls `callback` with each configuration that comes into force. */
+  /** Calls `callback` with each configuration that becomes active. */
   onSnapshot(callback: (snapshot: Snapshot) => void): void {
     this.#snapshotCallbacks.push(callback);
   }
 
-  /** Calls `callback` with each membership list that comes into force. */
+  /** Calls `callback` with each membership list that becomes active. */
   onList(callback: (list: MembershipList) => void): void {
     this.#listCallbacks.push(callback);
   }
@@ -163,7 +163,7 @@
   }
 
   async notePeerVersions(vm: VmId, versions: PeerVersions): Promise<void> {
-    this.#peers.note(vm, versions);
+    this.#peerVersions.note(vm, versions);
     if (versions.listAgeMs !== undefined) {
       const isFresher = this.#membership.noteListCurrent(
         versions.listRevision,
@@ -174,25 +174,25 @@
     if (this.#isBehind(versions)) await this.#puller.fetchFrom(vm);
   }
 
-  /** Hands on what this VM has and the asker has not. */
+  /** Answers a peer with the configuration and list that it lacks. */
   answerSnapshot(call: SnapshotCall): SnapshotAnswer {
     const version = this.#store.getVersion();
     const isConflict = call.after === version && call.digest !== undefined &&
       call.digest !== this.#store.getDigest();
     const isNewer = version > call.after || isConflict;
     const listRevision = this.#membership.getList().revision;
-    const steps = isNewer && call.takesSteps === true
+    const deltas = isNewer && call.takesSteps === true
       ? this.#store.listDeltas(call.digest ?? "")
       : undefined;
     return {
       version,
-      records: isNewer && !steps ? this.#store.getRecords() : undefined,
-      ...(steps && { steps }),
+      records: isNewer && !deltas ? this.#store.getRecords() : undefined,
+      ...(deltas && { steps: deltas }),
       list: listRevision > call.listAfter ? this.#rawList : undefined,
     };
   }
 
-  /** Which VM has which version, since when and from whom. */
+  /** Reports the version of each VM, its age and its origin. */
   listVersions(): VersionReport {
     return {
       vm: this.#environment.vm,
@@ -203,17 +203,17 @@
       viewAgeMs: this.#membership.getViewAgeMs(),
       isWatcher: this.#reader.isWatcher(),
       history: this.#store.listHistory(),
-      peers: this.#peers.list(),
+      peers: this.#peerVersions.list(),
     };
   }
 
   async #run(): Promise<void> {
-    // A service that went back to an older state would give this VM, whose
-    // memory is gone, a version that the fleet has left long ago. Peers know.
-    await this.#puller.fetchFirst();
+    // A service that was restored from an older state would send an outdated
+    // version, and a VM that has just started cannot tell. Its peers can.
+    await this.#puller.fetchAtStartup();
     if (!this.isReady()) {
-      await this.#reader.readListFirst();
-      await this.#puller.fetchFirst();
+      await this.#reader.readListAtStartup();
+      await this.#puller.fetchAtStartup();
     }
     this.#reader.start();
   }
@@ -239,13 +239,13 @@
 
   #readRecords(answer: SnapshotAnswer): unknown[] | undefined {
     if (answer.steps === undefined) {
-      if (Array.isArray(answer.records)) this.#takesSteps = true;
+      if (Array.isArray(answer.records)) this.#acceptsDeltas = true;
       return answer.records;
     }
     const records = this.#store.buildRecords(answer.steps);
-    // Steps that do not fit would be fetched again and again, and this VM
-    // would stay behind for good; the whole records settle it.
-    this.#takesSteps = records !== undefined;
+    // Deltas that do not apply would be fetched over and over, and this VM
+    // would never catch up. So it requests the full records next.
+    this.#acceptsDeltas = records !== undefined;
     return records;
   }
 
@@ -256,7 +256,7 @@
       const list = parseMembershipList(value);
       if (!this.#membership.applyList(list)) return;
       this.#rawList = value;
-      this.#peers.removeUnlisted();
+      this.#peerVersions.removeUnlisted();
       log.info("list_accepted", { revision: list.revision, from });
       for (const callback of this.#listCallbacks) callback(list);
       this.#announceNewVersion();
@@ -265,10 +265,10 @@
     }
   }
 
-  #apply(offer: Offer): void {
+  #apply(candidate: ConfigurationCandidate): void {
     const { log } = this.#environment;
-    const { version, from } = offer;
-    const result = this.#store.apply(offer);
+    const { version, from } = candidate;
+    const result = this.#store.apply(candidate);
     match(result)
       .with({ kind: "accepted" }, ({ snapshot }) => {
         log.info("configuration_accepted", { version, from });
@@ -311,7 +311,7 @@
     if (versions.listRevision > this.#membership.getList().revision) {
       return true;
     }
-    // Of two contents under one version the greater digest wins.
+    // Of two contents with the same version, the greater digest wins.
     return versions.configVersion === own && own > 0 &&
       versions.configDigest !== undefined &&
       versions.configDigest > this.#store.getDigest();
--- a/src/process/configuration_groups.ts
+++ b/src/process/configuration_groups.ts
@@ -1,5 +1,5 @@
 /**
- * The groups of records that make up a configuration.
+ * Cache of the record groups of a configuration.
  *
  * @module
  */
@@ -7,15 +7,15 @@
 import { compareStrings } from "../version/record_problem.ts";
 import type { ConfigurationSource } from "./configuration_source.ts";
 
-interface KnownGroup {
+interface CachedGroup {
   version: number;
   records: unknown[];
 }
 
-/** Fetches from a source only the groups whose version changed. */
+/** Fetches only the groups whose version has changed. */
 export class ConfigurationGroups {
   readonly #source: ConfigurationSource;
-  #known = new Map<string, KnownGroup>();
+  #cached = new Map<string, CachedGroup>();
 
   constructor(source: ConfigurationSource) {
     this.#source = source;
@@ -25,30 +25,30 @@
     return new ConfigurationGroups(source);
   }
 
-  /** All records of `index`, in an order that depends on it alone. */
+  /** Fetches all records of `index`, in an order that depends only on it. */
   async fetchRecords(index: RecordIndex): Promise<unknown[]> {
     const names = [...index.groups.keys()].sort(compareStrings);
-    const groups = new Map<string, KnownGroup>();
+    const groups = new Map<string, CachedGroup>();
     for (const name of names) {
       const version = index.groups.get(name)!;
       groups.set(name, await this.#fetchGroup(name, version));
     }
-    this.#known = groups;
+    this.#cached = groups;
     return [...groups.values()].flatMap((group) => group.records);
   }
 
   /**
-   * Forgets the groups, so that the next index is read whole. A group that was
-   * published twice under one version would otherwise stay as it was first
-   * seen, and make this VM reject versions that the others accept.
+   * Clears the cache, so that all groups of the next index are fetched. A group
+   * that was published twice under one version would otherwise stay cached with
+   * its first content, and this VM could reject versions that others accept.
    */
   clear(): void {
-    this.#known.clear();
+    this.#cached.clear();
   }
 
-  async #fetchGroup(name: string, version: number): Promise<KnownGroup> {
-    const known = this.#known.get(name);
-    if (known?.version === version) return known;
+  async #fetchGroup(name: string, version: number): Promise<CachedGroup> {
+    const cached = this.#cached.get(name);
+    if (cached?.version === version) return cached;
     const records = await this.#source.fetchGroup(name, version);
     return { version, records };
   }
--- a/src/process/configuration_peers.ts
+++ b/src/process/configuration_peers.ts
@@ -1,5 +1,5 @@
 /**
- * Which versions the other VMs were last heard to have.
+ * Configuration versions that the other VMs last reported.
  *
  * @module
  */
@@ -8,25 +8,25 @@
 import type { Environment } from "./environment.ts";
 import type { MembershipView } from "./membership_view.ts";
 
-/** What a VM was last heard to have. */
+/** Last reported version of a VM. */
 export interface PeerVersionEntry {
   vm: VmId;
   version: number;
   digest: string | undefined;
-  /** From whom it has that version; undefined where it did not say. */
+  /** Source from which the VM received the version, if reported. */
   from: string | undefined;
   listRevision: number;
-  /** Time since it was first heard to have that version. */
+  /** Time since the VM first reported that version. */
   sinceMs: number;
 }
 
-type Heard = Omit<PeerVersionEntry, "sinceMs"> & { heardAt: number };
+type ReceivedEntry = Omit<PeerVersionEntry, "sinceMs"> & { receivedAt: number };
 
-/** Keeps the last word of each listed VM. */
-export class PeerVersionBook {
+/** Last reported version of each listed VM. */
+export class PeerVersionTable {
   readonly #environment: Environment;
   readonly #membership: MembershipView;
-  readonly #heard = new Map<VmId, Heard>();
+  readonly #entries = new Map<VmId, ReceivedEntry>();
 
   constructor(
     options: { environment: Environment; membership: MembershipView },
@@ -37,39 +37,39 @@
 
   static create(
     options: { environment: Environment; membership: MembershipView },
-  ): PeerVersionBook {
-    return new PeerVersionBook(options);
+  ): PeerVersionTable {
+    return new PeerVersionTable(options);
   }
 
-  /** Takes in what `vm` says that it has. */
+  /** Records the versions that `vm` reports. */
   note(vm: VmId, versions: PeerVersions): void {
     if (this.#membership.findVm(vm) === undefined) return;
-    const known = this.#heard.get(vm);
+    const known = this.#entries.get(vm);
     const isSame = known?.version === versions.configVersion &&
       known.digest === versions.configDigest;
-    this.#heard.set(vm, {
+    this.#entries.set(vm, {
       vm,
       version: versions.configVersion,
       digest: versions.configDigest,
       from: versions.configFrom,
       listRevision: versions.listRevision,
-      heardAt: isSame ? known.heardAt : this.#environment.clock.now(),
+      receivedAt: isSame ? known.receivedAt : this.#environment.clock.now(),
     });
   }
 
-  /** What each VM was last heard to have. */
+  /** Lists the last reported version of each VM. */
   list(): PeerVersionEntry[] {
     const now = this.#environment.clock.now();
-    return [...this.#heard.values()].map(({ heardAt, ...entry }) => ({
+    return [...this.#entries.values()].map(({ receivedAt, ...entry }) => ({
       ...entry,
-      sinceMs: now - heardAt,
+      sinceMs: now - receivedAt,
     }));
   }
 
-  /** Forgets the VMs that are not in the list any more. */
+  /** Removes the VMs that are no longer in the membership list. */
   removeUnlisted(): void {
-    for (const vm of this.#heard.keys()) {
-      if (this.#membership.findVm(vm) === undefined) this.#heard.delete(vm);
+    for (const vm of this.#entries.keys()) {
+      if (this.#membership.findVm(vm) === undefined) this.#entries.delete(vm);
     }
   }
 }
--- a/src/process/configuration_puller.ts
+++ b/src/process/configuration_puller.ts
@@ -11,26 +11,26 @@
 import { withTimeout } from "./with_timeout.ts";
 import type { SnapshotAnswer } from "./peer_api.ts";
 
-/** Peers asked at a start, and how long their answers are waited for. */
-const FIRST_PEERS = 8;
-const FIRST_WAIT_MS = 2_000;
+/** Peers that are queried after a start, and the timeout for all of them. */
+const STARTUP_PEERS = 8;
+const STARTUP_TIMEOUT_MS = 2_000;
 
-/** What a puller needs. */
+/** Options of `PeerPuller`. */
 export interface PullerOptions {
   environment: Environment;
   membership: FleetMembership;
   seeds: readonly VmId[];
   getVersions: () => PeerVersions;
-  /** Whether steps will do in place of all records. */
-  takesSteps: () => boolean;
+  /** Whether deltas are accepted in place of the full records. */
+  acceptsDeltas: () => boolean;
   onAnswer: (vm: VmId, answer: SnapshotAnswer) => void;
 }
 
-/** Asks one peer at a time, as their probes tell of something newer. */
+/** Fetches from one peer at a time when its probe reports newer versions. */
 export class PeerPuller {
   readonly #options: PullerOptions;
   #running: Promise<void> | undefined;
-  #next: VmId | undefined;
+  #nextPeer: VmId | undefined;
   #isStopped = false;
 
   constructor(options: PullerOptions) {
@@ -45,34 +45,34 @@
     this.#isStopped = true;
   }
 
-  /** Fetches from `vm`; resolves when what was asked for came or could not. */
+  /** Fetches from `vm`; resolves on success and on failure. */
   async fetchFrom(vm: VmId): Promise<void> {
-    this.#next = vm;
+    this.#nextPeer = vm;
     this.#running ??= this.#runAll().finally(() => {
       this.#running = undefined;
     });
     await this.#running;
   }
 
-  /** Asks several peers at once, as a VM that has just started. */
-  async fetchFirst(): Promise<void> {
+  /** Fetches from several peers at once, after a start. */
+  async fetchAtStartup(): Promise<void> {
     const { environment } = this.#options;
-    const asked = this.#chooseFirstPeers().map((vm) => this.#fetchOne(vm));
-    if (asked.length === 0) return;
-    const all = Promise.all(asked);
-    await withTimeout(all, FIRST_WAIT_MS, environment.clock);
+    const fetches = this.#chooseStartupPeers().map((vm) => this.#fetchOne(vm));
+    if (fetches.length === 0) return;
+    const all = Promise.all(fetches);
+    await withTimeout(all, STARTUP_TIMEOUT_MS, environment.clock);
   }
 
   async #runAll(): Promise<void> {
-    while (this.#next !== undefined) {
-      const vm = this.#next;
-      this.#next = undefined;
+    while (this.#nextPeer !== undefined) {
+      const vm = this.#nextPeer;
+      this.#nextPeer = undefined;
       await this.#fetchOne(vm);
     }
   }
 
   async #fetchOne(vm: VmId): Promise<void> {
-    const { environment, getVersions, takesSteps, onAnswer } = this.#options;
+    const { environment, getVersions, acceptsDeltas, onAnswer } = this.#options;
     if (this.#isStopped) return;
     const own = getVersions();
     try {
@@ -81,7 +81,7 @@
         after: own.configVersion,
         digest: own.configDigest,
         listAfter: own.listRevision,
-        takesSteps: takesSteps(),
+        takesSteps: acceptsDeltas(),
       });
       if (!this.#isStopped) onAnswer(vm, answer);
     } catch (error) {
@@ -92,11 +92,11 @@
     }
   }
 
-  #chooseFirstPeers(): VmId[] {
+  #chooseStartupPeers(): VmId[] {
     const { environment, membership, seeds } = this.#options;
     const listed = membership.listEntryVms().map((vm) => vm.id);
     const others = new Set([...seeds, ...listed]);
     others.delete(environment.vm);
-    return environment.random.pickSample([...others], FIRST_PEERS);
+    return environment.random.pickSample([...others], STARTUP_PEERS);
   }
 }
--- a/src/process/configuration_reader.ts
+++ b/src/process/configuration_reader.ts
@@ -1,5 +1,6 @@
 /**
- * Reads and watches the source, as often as this VM's part in it asks for.
+ * Reads the configuration source. A few VMs of each data centre watch it by
+ * long polling; the others read it rarely, as a fallback.
  *
  * @module
  */
@@ -12,29 +13,29 @@
 import type { Environment } from "./environment.ts";
 import type { FleetMembership } from "./fleet_membership.ts";
 
-/** How long a watch waits; also the age that a watcher's view may have. */
+/** Timeout of a long poll; also the maximum age of a watcher's view. */
 const WATCH_WAIT_MS = 5_000;
-/** VMs of each data centre that watch the source. */
+/** Watchers in each data centre. */
 const WATCHERS_PER_DATA_CENTRE = 2;
 
-/** Mean time between two reads of a VM that does not watch, up to 8 VMs. */
-const FALLBACK_MS = 30_000;
-/** The same while nobody in the fleet seems to reach the source. */
-const STALE_FALLBACK_MS = 2_000;
-/** The view's age from which nobody seems to reach the source. */
+/** Mean time between reads of a VM that does not watch, in a small fleet. */
+const FALLBACK_INTERVAL_MS = 30_000;
+/** The same while no VM of the fleet seems to reach the source. */
+const STALE_FALLBACK_INTERVAL_MS = 2_000;
+/** Age of the view above which no VM seems to reach the source. */
 const STALE_VIEW_MS = 15_000;
-/** How long a VM watches that got through where the watchers did not. */
-const VOLUNTEER_MS = 60_000;
-/** It goes on when no other VM showed in this time that it gets through. */
-const ALONE_MS = 20_000;
-/** Intervals grow with the fleet from this size on, so that the sum does not. */
-const FLEET_UNIT = 8;
-const ROLE_CHECK_MS = 1_000;
-const FIRST_RETRY_MS = 250;
-const MAX_RETRY_MS = 5_000;
-const FIRST_LIST_TRIES = 4;
-
-/** What a reader needs. */
+/** How long a VM watches after it reached the source and no watcher did. */
+const VOLUNTEER_DURATION_MS = 60_000;
+/** A volunteer continues if no other VM reached the source within this time. */
+const OTHER_READER_TIMEOUT_MS = 20_000;
+/** Beyond this size, intervals grow with the fleet to bound the total rate. */
+const UNSCALED_FLEET_VMS = 8;
+const ROLE_CHECK_INTERVAL_MS = 1_000;
+const RETRY_BASE_MS = 250;
+const MAX_RETRY_DELAY_MS = 5_000;
+const STARTUP_LIST_ATTEMPTS = 4;
+
+/** Options of `SourceReader`. */
 export interface ReaderOptions {
   environment: Environment;
   membership: FleetMembership;
@@ -44,11 +45,11 @@
   onList: (value: unknown) => void;
 }
 
-/** Two tasks: one for the configuration's index, one for the list. */
+/** Reads the configuration index and the membership list, each in a task. */
 export class SourceReader {
   readonly #options: ReaderOptions;
   readonly #stopped = new AbortController();
-  /** The highest index handled, rejected ones too. */
+  /** Highest index version that was handled, including rejected ones. */
   #indexVersion = 0;
   #volunteerUntil = -Infinity;
   #otherReadAt = -Infinity;
@@ -71,8 +72,9 @@
   }
 
   /**
-   * Whether this VM watches the source: it is among the first of its data
-   * centre that answer, in rendezvous order, or got through when they did not.
+   * Whether this VM watches the source: it is among the first reachable VMs of
+   * its data centre in rendezvous order, or is a volunteer, which reached the
+   * source when the watchers did not.
    */
   isWatcher(): boolean {
     const { environment, membership } = this.#options;
@@ -86,21 +88,22 @@
   }
 
   /**
-   * Notes that another VM got through to the source on its own: its word of
-   * the list is fresher than this VM's, so it cannot come from this VM.
+   * Notes that another VM has reached the source itself. It reported a more
+   * recent confirmation of the list than this VM's, which it cannot have from
+   * this VM.
    */
   noteOtherRead(): void {
     this.#otherReadAt = this.#options.environment.clock.now();
   }
 
-  /** Reads the list once, before peers are known; gives up after some tries. */
-  async readListFirst(): Promise<void> {
-    for (let tries = 1; tries <= FIRST_LIST_TRIES; tries += 1) {
+  /** Reads the list once before peers are known, in a few attempts. */
+  async readListAtStartup(): Promise<void> {
+    for (let attempt = 1; attempt <= STARTUP_LIST_ATTEMPTS; attempt += 1) {
       try {
         return await this.#readList(0);
       } catch (error) {
         this.#noteFailure("list", toError(error));
-        await this.#sleepBeforeRetry(tries);
+        await this.#sleepBeforeRetry(attempt);
       }
     }
   }
@@ -111,8 +114,8 @@
   ): Promise<void> {
     const { log } = this.#options.environment;
     let failures = 0;
-    // Without a wait at first and after failures: a watch tells that nothing
-    // is newer only when its time is over.
+    // The first read, and each after a failure, does not wait: a long poll
+    // confirms that nothing is newer only when it times out.
     let mayWait = false;
     while (!this.#stopped.signal.aborted) {
       const isStarting = this.#options.getVersion() === 0;
@@ -123,7 +126,7 @@
         mayWait = true;
         if (failures > 0) log.info("source_answers", { read: name });
         failures = 0;
-        // A source without any version answers a read at once, again and again.
+        // Avoids a busy loop: a source without a version answers at once.
         if (!this.isWatcher() && isStarting) await this.#sleepBeforeRetry(1);
       } catch (error) {
         if (this.#stopped.signal.aborted) return;
@@ -148,19 +151,19 @@
   async #readList(waitMs: number): Promise<void> {
     const { environment, membership, source, onList } = this.#options;
     const after = membership.getList().revision;
-    const isNeeded = this.#isNeeded();
-    const askedAt = environment.clock.now();
+    const isNeeded = this.#isVolunteerNeeded();
+    const requestedAt = environment.clock.now();
     const { signal } = this.#stopped;
     const value = await source.fetchMembership(after, waitMs, signal);
     if (this.#stopped.signal.aborted) return;
     if (value !== undefined) onList(value);
     if (isNeeded) {
-      this.#volunteerUntil = environment.clock.now() + VOLUNTEER_MS;
+      this.#volunteerUntil = environment.clock.now() + VOLUNTEER_DURATION_MS;
     }
-    // The answer may have been on its way for long: what it says was true when
-    // the source sent it, which is no earlier than the end of a wait that
-    // brought nothing, and no earlier than the question otherwise.
-    const elapsedMs = environment.clock.now() - askedAt;
+    // The response may have been in transit for long. It was current when the
+    // source sent it: not before the end of the wait if nothing is new, and not
+    // before the request otherwise.
+    const elapsedMs = environment.clock.now() - requestedAt;
     const waitedMs = value === undefined ? Math.min(elapsedMs, waitMs) : 0;
     const revision = value === undefined ? after : getRevision(value);
     membership.noteListCurrent(revision, elapsedMs - waitedMs);
@@ -169,30 +172,31 @@
   async #waitForTurn(): Promise<void> {
     const { clock, random } = this.#options.environment;
     const startedAt = clock.now();
-    const share = 0.5 + random.next();
+    const jitter = 0.5 + random.next();
     const { signal } = this.#stopped;
     while (!signal.aborted && !this.isWatcher()) {
-      if (clock.now() - startedAt >= share * this.#getFallbackMs()) return;
-      await clock.sleep(ROLE_CHECK_MS, signal);
+      if (clock.now() - startedAt >= jitter * this.#getFallbackMs()) return;
+      await clock.sleep(ROLE_CHECK_INTERVAL_MS, signal);
     }
   }
 
   #getFallbackMs(): number {
     const { membership } = this.#options;
     const count = membership.listEntryVms().length;
-    const units = Math.max(1, count / FLEET_UNIT);
-    return units * (this.#isViewStale() ? STALE_FALLBACK_MS : FALLBACK_MS);
+    const scale = Math.max(1, count / UNSCALED_FLEET_VMS);
+    return scale *
+      (this.#isViewStale() ? STALE_FALLBACK_INTERVAL_MS : FALLBACK_INTERVAL_MS);
   }
 
-  /** Whether the fleet has nobody but this VM to reach the source. */
-  #isNeeded(): boolean {
+  /** Whether no VM but this one seems to reach the source. */
+  #isVolunteerNeeded(): boolean {
     const now = this.#options.environment.clock.now();
     const isVolunteer = now < this.#volunteerUntil;
-    const isAlone = now - this.#otherReadAt > ALONE_MS;
+    const isAlone = now - this.#otherReadAt > OTHER_READER_TIMEOUT_MS;
     return this.#isViewStale() || (isVolunteer && isAlone);
   }
 
-  /** Whether nobody seems to reach the source, who did once. */
+  /** Whether the source was reached before, but not recently, by any VM. */
   #isViewStale(): boolean {
     const ageMs = this.#options.membership.getViewAgeMs();
     return Number.isFinite(ageMs) && ageMs > STALE_VIEW_MS;
@@ -205,8 +209,8 @@
 
   async #sleepBeforeRetry(failures: number): Promise<void> {
     const { clock, random } = this.#options.environment;
-    const most = Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** failures);
-    const ms = most * (0.5 + random.next() / 2);
+    const maxMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_BASE_MS * 2 ** failures);
+    const ms = maxMs * (0.5 + random.next() / 2);
     await clock.sleep(ms, this.#stopped.signal);
   }
 }
--- a/src/process/configuration_records.ts
+++ b/src/process/configuration_records.ts
@@ -1,5 +1,5 @@
 /**
- * What was worked out of each published record, kept as long as the record.
+ * Cache of the parsed form and JSON text of published records.
  *
  * @module
  */
@@ -9,26 +9,26 @@
 const DIGEST_LENGTH = 16;
 
 /**
- * Texts and parsed forms by the record's object, which is never changed.
+ * JSON texts and parsed forms by record object. Record objects are immutable.
  *
- * A change touches few records of many. Worked out anew at each change, the
- * texts and checks of all would hold the process for a tenth of a second at
- * some thousand records, and no stream goes on meanwhile.
+ * An update changes few of many records. Without the cache, every update would
+ * serialize and validate all of them: with some thousand records this blocks
+ * the event loop, and so every stream, for about 100 ms.
  */
-export class RecordMemory {
+export class RecordCache {
   readonly #parsed = new WeakMap<object, ParsedRecord>();
   readonly #texts = new WeakMap<object, string>();
 
-  static create(): RecordMemory {
-    return new RecordMemory();
+  static create(): RecordCache {
+    return new RecordCache();
   }
 
-  /** What `parseRecord` gives. */
+  /** Cached `parseRecord`. */
   parse(record: unknown): ParsedRecord {
     return getOrBuild(this.#parsed, record, parseRecord);
   }
 
-  /** What `computeDigest` gives. */
+  /** Returns the same as `computeDigest`, from cached texts. */
   computeDigest(records: readonly unknown[]): string {
     const texts = records.map((record) => {
       return getOrBuild(this.#texts, record, formatRecord);
@@ -37,25 +37,25 @@
   }
 }
 
-/** A short digest of records as published, in their published order. */
+/** Computes a short digest of records, in their published order. */
 export function computeDigest(records: readonly unknown[]): string {
   return computeTextDigest(JSON.stringify(records));
 }
 
 function getOrBuild<T>(
-  known: WeakMap<object, T>,
+  cache: WeakMap<object, T>,
   record: unknown,
   build: (record: unknown) => T,
 ): T {
   if (typeof record !== "object" || record === null) return build(record);
-  const kept = known.get(record);
-  if (kept !== undefined) return kept;
+  const cached = cache.get(record);
+  if (cached !== undefined) return cached;
   const built = build(record);
-  known.set(record, built);
+  cache.set(record, built);
   return built;
 }
 
-/** As it stands in the text of a list. */
+/** Formats a record as `JSON.stringify` does in an array. */
 function formatRecord(record: unknown): string {
   return JSON.stringify(record) ?? "null";
 }
--- a/src/process/configuration_service_source.ts
+++ b/src/process/configuration_service_source.ts
@@ -15,29 +15,30 @@
   parseMembershipText,
 } from "./configuration_source.ts";
 
-const ANSWER_TIMEOUT_MS = 2_000;
-const NOT_MODIFIED = 304;
-const OK = 200;
+const RESPONSE_TIMEOUT_MS = 2_000;
+const HTTP_NOT_MODIFIED = 304;
+const HTTP_OK = 200;
 
-interface Read {
+/** One HTTP request to the service. */
+interface ReadRequest {
   url: string;
   step: string;
   path: string;
-  /** How long the service itself may hold the call. */
+  /** How long the service may hold the request open. */
   waitMs: number;
   signal: AbortSignal;
 }
 
 /**
- * The configuration service at one or several addresses. A watch waits at all
- * of them at once: one that is stale, down or silent cannot hide a newer
- * version that another has.
+ * The configuration service at one or several addresses. A long poll goes to
+ * all of them at once, so that one that is stale, down or silent does not hide
+ * a newer version that another has.
  */
 export class ServiceSource extends ConfigurationSource {
   readonly #urls: string[];
   readonly #clock: Clock;
   readonly #answerTimeoutMs: number;
-  /** The address that gave the last index; its groups belong to it. */
+  /** Address of the last index; its groups are read there first. */
   #indexUrl: string;
 
   constructor(
@@ -46,13 +47,13 @@
     super();
     this.#urls = options.urls.map((url) => url.replace(/\/+$/, ""));
     this.#clock = options.clock;
-    this.#answerTimeoutMs = options.answerTimeoutMs ?? ANSWER_TIMEOUT_MS;
+    this.#answerTimeoutMs = options.answerTimeoutMs ?? RESPONSE_TIMEOUT_MS;
     this.#indexUrl = this.#urls[0] ?? "";
   }
 
   /**
-   * `urls` are base addresses (`http://IP:PORT`); `answerTimeoutMs` is the
-   * silence allowed beyond the time that a watch asks the service to wait.
+   * `urls` are base URLs (`http://IP:PORT`). `answerTimeoutMs` is the time
+   * allowed beyond the wait that a long poll requests of the service.
    */
   static create(
     options: { urls: string[]; clock: Clock; answerTimeoutMs?: number },
@@ -119,11 +120,11 @@
   }
 
   /**
-   * Resolves with the first news from any address, or with undefined once
-   * every one answered or failed; rejects only when all of them failed.
+   * Resolves with the first new value from any address, or with undefined once
+   * all have answered or failed. Rejects only if all of them failed.
    */
   async #watchAll<T>(
-    call: Omit<Read, "url">,
+    call: Omit<ReadRequest, "url">,
     parse: (text: string, url: string) => T | undefined,
   ): Promise<{ url: string; value: T } | undefined> {
     const controller = new AbortController();
@@ -150,22 +151,22 @@
     }
   }
 
-  /** The body, or undefined for 304. */
-  #read(read: Read): Promise<string | undefined> {
-    const place = { step: read.step, peer: read.url };
+  /** Reads the body; undefined for status 304. */
+  #read(read: ReadRequest): Promise<string | undefined> {
+    const context = { step: read.step, peer: read.url };
     return new Promise((resolve, reject) => {
-      // A connection that went silent for good gives neither data nor an
-      // error: without this deadline the watch would never end and the VM
-      // would stay on an old version with nothing in its log.
+      // A half-open connection delivers neither data nor an error. Without this
+      // deadline the long poll would never end, and the VM would stay on an old
+      // version with no log line.
       const cancelDeadline = this.#clock.startTimer(
         read.waitMs + this.#answerTimeoutMs,
-        () => request.destroy(new Error("No answer before the deadline")),
+        () => request.destroy(new Error("No response before the deadline")),
       );
       const fail = (message: string, cause?: Error) => {
         cancelDeadline();
-        reject(new StepError({ ...place, cause }, message));
+        reject(new StepError({ ...context, cause }, message));
       };
-      // Each read opens its own connection: a kept one may be half dead.
+      // No keep-alive: a reused connection may be half-open.
       const request = http.get(
         read.url + read.path,
         { agent: false, signal: read.signal },
@@ -175,18 +176,21 @@
           response.on("data", (chunk: Buffer) => {
             bytes += chunk.length;
             if (bytes > MAX_VALUE_BYTES) {
-              request.destroy(new Error("The value is over a megabyte"));
+              request.destroy(new Error("The value is larger than 1 MiB"));
               return;
             }
             chunks.push(chunk);
           });
-          response.on("error", (error) => fail("The answer broke off", error));
+          response.on(
+            "error",
+            (error) => fail("The response was truncated", error),
+          );
           response.on("end", () => {
             cancelDeadline();
-            if (response.statusCode === NOT_MODIFIED) resolve(undefined);
-            else if (response.statusCode === OK) {
+            if (response.statusCode === HTTP_NOT_MODIFIED) resolve(undefined);
+            else if (response.statusCode === HTTP_OK) {
               resolve(Buffer.concat(chunks).toString("utf8"));
-            } else fail(`The service answered ${response.statusCode}`);
+            } else fail(`The service returned status ${response.statusCode}`);
           });
         },
       );
@@ -195,16 +199,16 @@
   }
 }
 
-/** The first defined result, or undefined once all are over. */
+/** Resolves with the first defined result, or undefined once all are done. */
 function waitFirst<T>(
   tasks: Promise<T | undefined>[],
 ): Promise<T | undefined> {
   return new Promise((resolve) => {
-    let left = tasks.length;
+    let pending = tasks.length;
     for (const task of tasks) {
       task.then((value) => {
-        left -= 1;
-        if (value !== undefined || left === 0) resolve(value);
+        pending -= 1;
+        if (value !== undefined || pending === 0) resolve(value);
       });
     }
   });
--- a/src/process/configuration_source.ts
+++ b/src/process/configuration_source.ts
@@ -1,5 +1,5 @@
 /**
- * Where published configurations and membership lists are read from.
+ * Interface of a source of published configurations and membership lists.
  *
  * @module
  */
@@ -7,31 +7,31 @@
 import { parseGroup, parseIndex } from "../version/index.ts";
 import type { RecordIndex } from "../version/index.ts";
 
-/** The platform's bound on one value; a larger one is refused. */
+/** Maximum size of a published value, as set by the platform. */
 export const MAX_VALUE_BYTES = 1_048_576;
 
-/** Which read of which source a value came from. */
-export interface ReadPlace {
+/** The step and source of a read, for error messages. */
+export interface ReadContext {
   step: string;
   peer: string;
 }
 
-/** A place to read configurations and membership lists from. */
+/** Source of published configurations and membership lists. */
 export abstract class ConfigurationSource {
   /**
-   * Waits up to `waitMs` for an index above `after`; undefined when there is
-   * none. Throws `StepError` when the source does not answer.
+   * Waits up to `waitMs` for an index newer than version `after`; undefined if
+   * there is none. Throws `StepError` if the source does not answer.
    */
   abstract fetchIndex(
     after: number,
     waitMs: number,
     signal: AbortSignal,
   ): Promise<RecordIndex | undefined>;
-  /** The records of one group, which never change under one version. */
+  /** Fetches the records of a group, which are immutable for a version. */
   abstract fetchGroup(name: string, version: number): Promise<unknown[]>;
   /**
    * Waits up to `waitMs` for a membership list with a revision above `after`;
-   * undefined when there is none. The list is not validated yet.
+   * undefined if there is none. The list is not validated.
    */
   abstract fetchMembership(
     after: number,
@@ -40,33 +40,33 @@
   ): Promise<unknown | undefined>;
 }
 
-/** Reads an index above `after` from text; throws `StepError`. */
+/** Parses an index; undefined if not newer than `after`. Throws `StepError`. */
 export function parseIndexText(
   text: string,
   after: number,
-  place: ReadPlace,
+  context: ReadContext,
 ): RecordIndex | undefined {
-  const index = parseText(text, parseIndex, place);
-  // A stale source may give an older index than was asked for.
+  const index = parseText(text, parseIndex, context);
+  // A stale source may return an older index than requested.
   return index.version > after ? index : undefined;
 }
 
-/** Reads a group's records from text; throws `StepError`. */
-export function parseGroupText(text: string, place: ReadPlace): unknown[] {
-  return parseText(text, parseGroup, place);
+/** Parses the records of a group. Throws `StepError`. */
+export function parseGroupText(text: string, context: ReadContext): unknown[] {
+  return parseText(text, parseGroup, context);
 }
 
-/** Reads a membership list above `after` from text; throws `StepError`. */
+/** Parses a list; undefined if not newer than `after`. Throws `StepError`. */
 export function parseMembershipText(
   text: string,
   after: number,
-  place: ReadPlace,
+  context: ReadContext,
 ): unknown | undefined {
-  const value = parseText(text, (json) => json, place);
+  const value = parseText(text, (json) => json, context);
   return getRevision(value) > after ? value : undefined;
 }
 
-/** The revision of a list that is not validated yet; -1 without one. */
+/** The revision of a list that is not validated yet; -1 if it has none. */
 export function getRevision(value: unknown): number {
   const revision = (value as { revision?: unknown } | null)?.revision;
   return typeof revision === "number" && Number.isSafeInteger(revision)
@@ -77,14 +77,14 @@
 function parseText<T>(
   text: string,
   convert: (value: unknown) => T,
-  place: ReadPlace,
+  context: ReadContext,
 ): T {
   try {
     return convert(JSON.parse(text));
   } catch (error) {
     throw new StepError(
-      { ...place, cause: toError(error) },
-      "The published value cannot be read",
+      { ...context, cause: toError(error) },
+      "The published value is not valid",
     );
   }
 }
--- a/src/process/configuration_store.ts
+++ b/src/process/configuration_store.ts
@@ -1,5 +1,5 @@
 /**
- * The accepted configuration and the rules by which another replaces it.
+ * The accepted configuration and the rules for replacing it.
  *
  * @module
  */
@@ -7,7 +7,7 @@
 import { buildSnapshot, formatProblem } from "../version/index.ts";
 import type { RecordProblem, Snapshot } from "../version/index.ts";
 import type { Clock } from "./clock.ts";
-import { RecordMemory } from "./configuration_records.ts";
+import { RecordCache } from "./configuration_records.ts";
 import {
   applyDeltas,
   DeltaHistory,
@@ -15,32 +15,32 @@
 } from "./configuration_deltas.ts";
 import type { ConfigurationDelta } from "./peer_api.ts";
 
-const MAX_HISTORY = 32;
-const MAX_REJECTED = 32;
-const MAX_PROBLEMS_KEPT = 10;
+const MAX_HISTORY_ENTRIES = 32;
+const MAX_REJECTED_CANDIDATES = 32;
+const MAX_STORED_PROBLEMS = 10;
 
-/** Published records that may become the configuration. */
-export interface Offer {
+/** Published records that may become the active configuration. */
+export interface ConfigurationCandidate {
   version: number;
   records: unknown[];
-  /** `service`, `directory` or the VM that handed them on. */
+  /** `service`, `directory` or the VM that sent the records. */
   from: string;
 }
 
-/** What became of an offer. */
-export type OfferResult =
+/** Result of applying a candidate. */
+export type ApplyResult =
   | { kind: "accepted"; snapshot: Snapshot }
-  /** Another content under the version in force; `replaced` says which won. */
+  /** Other content under the active version; `replaced` if the new one won. */
   | { kind: "conflict"; replaced: boolean; isNew: boolean; digest: string }
   | { kind: "rejected"; problems: RecordProblem[]; isNew: boolean }
   | { kind: "same" }
   | { kind: "older" };
 
-/** A version that this VM decided on. */
+/** One decision of this VM on a candidate. */
 export interface VersionEntry {
   version: number;
   digest: string;
-  /** `outranked`: another content of that version is in force. */
+  /** `outranked`: other content of that version is active. */
   result: "accepted" | "rejected" | "outranked";
   from: string;
   /** Time since the decision. */
@@ -58,25 +58,25 @@
   decidedAt: number;
 }
 
-/** From whom the records in force came, and the time since then. */
+/** Source of the active records, and the time since they were accepted. */
 export interface VersionOrigin {
   from: string;
   ageMs: number;
 }
 
 /**
- * Keeps the one accepted configuration. Only a higher version replaces it.
+ * Keeps the active configuration. Only a higher version replaces it.
  *
- * Two contents under one version number break the service's promise (two
- * services that disagree, or a version published twice). Each VM would keep
- * the one it saw first, and two VMs would treat one request differently with
- * nothing in the versions to show it. So the content with the greater digest
- * wins everywhere, whichever a VM saw first.
+ * The configuration service must not publish two contents under one version,
+ * but two services can disagree or a version can be published twice. If each
+ * VM kept the content that it received first, VMs with equal versions would
+ * handle the same request differently. So the content with the greater digest
+ * wins on all VMs, independent of the order of arrival.
  */
 export class ConfigurationStore {
   readonly #clock: Clock;
-  readonly #steps = DeltaHistory.create();
-  readonly #memory = RecordMemory.create();
+  readonly #deltas = DeltaHistory.create();
+  readonly #recordCache = RecordCache.create();
   #accepted: Accepted | undefined;
   #history: StoredEntry[] = [];
   #rejected = new Map<string, RecordProblem[]>();
@@ -94,19 +94,19 @@
     return this.#accepted?.snapshot;
   }
 
-  /** The version in force; 0 before the first. */
+  /** The active version; 0 before the first. */
   getVersion(): number {
     return this.#accepted?.snapshot.version ?? 0;
   }
 
-  /** Of the records in force; empty before the first. */
+  /** Digest of the active records; empty before the first. */
   getDigest(): string {
     return this.#accepted?.digest ?? "";
   }
 
   /**
-   * Where the records in force came from; undefined before the first. The
-   * history may have lost that decision to later refusals.
+   * Origin of the active records; undefined before the first. It is not taken
+   * from the history, which later rejections may have pushed it out of.
    */
   getOrigin(): VersionOrigin | undefined {
     if (this.#accepted === undefined) return undefined;
@@ -114,65 +114,72 @@
     return { from, ageMs: this.#clock.now() - decidedAt };
   }
 
-  /** The records in force, as published. */
+  /** The active records, as published. */
   getRecords(): unknown[] | undefined {
     return this.#accepted?.records;
   }
 
-  /** The steps from the content of `digest` to the one in force. */
+  /** The deltas from the content with `digest` to the active one. */
   listDeltas(digest: string): ConfigurationDelta[] | undefined {
-    return this.#steps.listFrom(digest);
+    return this.#deltas.listFrom(digest);
   }
 
   /**
-   * The records that `steps` of another VM lead to from those in force;
-   * undefined where they do not fit or lead elsewhere than they say.
+   * Applies deltas of another VM to the active records. Returns undefined if
+   * they do not apply or the result does not have the digest that they state.
    */
-  buildRecords(steps: unknown): unknown[] | undefined {
+  buildRecords(deltas: unknown): unknown[] | undefined {
     if (this.#accepted === undefined) return undefined;
-    const content = applyDeltas(this.#accepted, steps);
+    const content = applyDeltas(this.#accepted, deltas);
     if (content === undefined) return undefined;
-    const isWhole =
-      this.#memory.computeDigest(content.records) === content.digest;
-    return isWhole ? content.records : undefined;
+    const hasExpectedDigest =
+      this.#recordCache.computeDigest(content.records) === content.digest;
+    return hasExpectedDigest ? content.records : undefined;
   }
 
-  /** Takes `offer` if the rules say so; never throws. */
-  apply(offer: Offer): OfferResult {
-    if (!Number.isSafeInteger(offer.version) || offer.version < 1) {
+  /** Applies `candidate` if the rules allow it; never throws. */
+  apply(candidate: ConfigurationCandidate): ApplyResult {
+    if (!Number.isSafeInteger(candidate.version) || candidate.version < 1) {
       return { kind: "older" };
     }
-    if (offer.version < this.getVersion()) return { kind: "older" };
-    // Records that did not change stay the objects that they were.
-    const records = mergeRecords(this.#accepted?.records ?? [], offer.records);
-    const digest = this.#memory.computeDigest(records);
-    const isConflict = offer.version === this.getVersion();
+    if (candidate.version < this.getVersion()) return { kind: "older" };
+    // Reuses the objects of unchanged records: they are the keys of the cache.
+    const records = mergeRecords(
+      this.#accepted?.records ?? [],
+      candidate.records,
+    );
+    const digest = this.#recordCache.computeDigest(records);
+    const isConflict = candidate.version === this.getVersion();
     if (isConflict && digest === this.getDigest()) return { kind: "same" };
     if (isConflict && digest < this.getDigest()) {
-      const isNew = this.#noteOutranked(offer, digest);
+      const isNew = this.#noteOutranked(candidate, digest);
       return { kind: "conflict", replaced: false, isNew, digest };
     }
-    const known = this.#rejected.get(toKey(offer.version, digest));
-    if (known !== undefined) {
-      return { kind: "rejected", problems: known, isNew: false };
+    const knownProblems = this.#rejected.get(toKey(candidate.version, digest));
+    if (knownProblems !== undefined) {
+      return { kind: "rejected", problems: knownProblems, isNew: false };
     }
-    const parse = (record: unknown) => this.#memory.parse(record);
-    return match(buildSnapshot(offer.version, records, { parse }))
-      .with({ kind: "rejected" }, ({ problems }): OfferResult => {
-        this.#noteRejected(offer, digest, problems);
+    const parse = (record: unknown) => this.#recordCache.parse(record);
+    return match(buildSnapshot(candidate.version, records, { parse }))
+      .with({ kind: "rejected" }, ({ problems }): ApplyResult => {
+        this.#noteRejected(candidate, digest, problems);
         return { kind: "rejected", problems, isNew: true };
       })
-      .with({ kind: "accepted" }, ({ snapshot }): OfferResult => {
+      .with({ kind: "accepted" }, ({ snapshot }): ApplyResult => {
         const accepted: Accepted = {
           snapshot,
           records,
           digest,
-          from: offer.from,
+          from: candidate.from,
           decidedAt: this.#clock.now(),
         };
-        if (this.#accepted) this.#steps.add(this.#accepted, accepted);
+        if (this.#accepted) this.#deltas.add(this.#accepted, accepted);
         this.#accepted = accepted;
-        this.#addHistory(offer, { digest, result: "accepted", problems: [] });
+        this.#addHistory(candidate, {
+          digest,
+          result: "accepted",
+          problems: [],
+        });
         return isConflict
           ? { kind: "conflict", replaced: true, isNew: true, digest }
           : { kind: "accepted", snapshot };
@@ -180,7 +187,7 @@
       .exhaustive();
   }
 
-  /** The latest decisions, oldest first. */
+  /** Lists the latest decisions, oldest first. */
   listHistory(): VersionEntry[] {
     const now = this.#clock.now();
     return this.#history.map(({ decidedAt, ...entry }) => ({
@@ -189,40 +196,44 @@
     }));
   }
 
-  #noteOutranked(offer: Offer, digest: string): boolean {
-    const key = toKey(offer.version, digest);
+  #noteOutranked(candidate: ConfigurationCandidate, digest: string): boolean {
+    const key = toKey(candidate.version, digest);
     if (this.#outranked === key) return false;
     this.#outranked = key;
-    this.#addHistory(offer, { digest, result: "outranked", problems: [] });
+    this.#addHistory(candidate, { digest, result: "outranked", problems: [] });
     return true;
   }
 
   #noteRejected(
-    offer: Offer,
+    candidate: ConfigurationCandidate,
     digest: string,
     problems: RecordProblem[],
   ): void {
-    const kept = problems.slice(0, MAX_PROBLEMS_KEPT);
-    this.#rejected.set(toKey(offer.version, digest), kept);
-    if (this.#rejected.size > MAX_REJECTED) {
+    const stored = problems.slice(0, MAX_STORED_PROBLEMS);
+    this.#rejected.set(toKey(candidate.version, digest), stored);
+    if (this.#rejected.size > MAX_REJECTED_CANDIDATES) {
       const oldest = this.#rejected.keys().next().value;
       if (oldest !== undefined) this.#rejected.delete(oldest);
     }
-    const texts = kept.map(formatProblem);
-    this.#addHistory(offer, { digest, result: "rejected", problems: texts });
+    const texts = stored.map(formatProblem);
+    this.#addHistory(candidate, {
+      digest,
+      result: "rejected",
+      problems: texts,
+    });
   }
 
   #addHistory(
-    offer: Offer,
+    candidate: ConfigurationCandidate,
     decision: Pick<StoredEntry, "digest" | "result" | "problems">,
   ): void {
     this.#history.push({
       ...decision,
-      version: offer.version,
-      from: offer.from,
+      version: candidate.version,
+      from: candidate.from,
       decidedAt: this.#clock.now(),
     });
-    if (this.#history.length > MAX_HISTORY) this.#history.shift();
+    if (this.#history.length > MAX_HISTORY_ENTRIES) this.#history.shift();
   }
 }
 
--- a/src/process/daemon.ts
+++ b/src/process/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * The daemon: a VM's runtime behind its listeners.
+ * The daemon: a VM's runtime with its listeners.
  *
  * @module
  */
@@ -31,9 +31,9 @@
 import type { PeerTlsSettings, Settings, TlsSettings } from "./settings.ts";
 
 const INCARNATION_LENGTH = 8;
-const IN_FLIGHT_CHECK_MS = 100;
+const IN_FLIGHT_POLL_MS = 100;
 
-/** One running daemon. */
+/** The runtime of one VM with its caller, peer and operator listeners. */
 export class Daemon {
   readonly environment: Environment;
   readonly runtime: VmRuntime;
@@ -78,12 +78,12 @@
     });
   }
 
-  /** `onEnd` is called once a drain has ended. */
+  /** `onEnd` is called when a drain has ended. */
   static create(settings: Settings, onEnd: () => void = () => {}): Daemon {
     return new Daemon(settings, onEnd);
   }
 
-  /** Opens the listeners and starts every task. Rejects with `StepError`. */
+  /** Opens the listeners and starts the tasks. Rejects with `StepError`. */
   async start(): Promise<void> {
     const { callers, peers, operators } = this.#settings.listeners;
     await this.#peers.start(peers.host, peers.port);
@@ -101,17 +101,17 @@
   }
 
   /**
-   * Ends the daemon without cutting off a request: announces the drain, hands
-   * queues on, goes on serving while callers may still hold this address,
-   * then closes the callers' listener and waits for requests in flight, at
-   * most the settings' `graceMs` in all.
+   * Shuts down gracefully: announces the drain, hands the owned shards over,
+   * keeps serving while callers may have this address cached, then closes the
+   * callers' listener and waits for the requests in flight. All of this takes
+   * at most `graceMs` of the settings; requests in flight are then cut off.
    */
   drain(): Promise<void> {
     this.#drain ??= this.#runDrain();
     return this.#drain;
   }
 
-  /** Ends at once; requests in flight are cut. */
+  /** Stops at once; requests in flight are cut off. */
   async stop(): Promise<void> {
     this.runtime.stop();
     this.#callers.closeAll();
@@ -125,10 +125,10 @@
   }
 
   /**
-   * Reads the TLS files again, for connections from now on. What goes wrong
-   * without the catch: a file that is half written or cannot be read ends the
-   * daemon with every request in flight, at a signal that should change
-   * nothing for them. The listeners keep what they have, and the log says so.
+   * Reloads the TLS files for new connections. If a file is incomplete or
+   * unreadable, the listeners keep their certificates and the error is logged:
+   * an exception in the signal handler would end the daemon and every request
+   * in flight.
    */
   updateTls(): void {
     try {
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Reads and checks everything before the first listener changes. */
+  /** Reads and checks all files before the first listener is updated. */
   #readAndUpdateTls(): void {
     const { callers, peers, operators } = this.#settings.listeners;
     const callersTls = readServerTls(callers.tls);
@@ -164,7 +164,7 @@
     const closed = this.#callers.stop();
     const endsAt = startedAt + graceMs;
     while (this.#hasWork() && clock.now() < endsAt) {
-      await clock.sleep(IN_FLIGHT_CHECK_MS);
+      await clock.sleep(IN_FLIGHT_POLL_MS);
     }
     const cut = this.runtime.inFlight;
     if (cut > 0) log.warn("drain_cut", { in_flight: cut });
--- a/src/process/earliest_timer.ts
+++ b/src/process/earliest_timer.ts
@@ -1,11 +1,11 @@
 /**
- * One timer that several reasons may bring forward, and none puts off.
+ * A timer that can be moved to an earlier time, but not to a later one.
  *
  * @module
  */
 import type { CancelTimer, Clock } from "./clock.ts";
 
-/** Fires once for the earliest time that it was set to. */
+/** Fires once, at the earliest of the times that it was set to. */
 export class EarliestTimer {
   readonly #clock: Clock;
   readonly #onDue: (lateMs: number) => void;
@@ -18,7 +18,7 @@
     this.#onDue = onDue;
   }
 
-  /** `onDue` hears by how many milliseconds the timer fired late. */
+  /** `onDue` receives the delay of the timer in milliseconds. */
   static create(
     clock: Clock,
     onDue: (lateMs: number) => void,
@@ -26,7 +26,7 @@
     return new EarliestTimer(clock, onDue);
   }
 
-  /** Fires at `at` by `Clock.now()`, unless it does so earlier already. */
+  /** Sets the timer to `at` (`Clock.now()`) unless it is due earlier. */
   setBy(at: number): void {
     if (this.#isStopped || at >= this.#dueAt) return;
     this.#cancel?.();
@@ -37,7 +37,7 @@
     );
   }
 
-  /** Never fires again. */
+  /** Stops the timer for good. */
   stop(): void {
     this.#isStopped = true;
     this.#cancel?.();
--- a/src/process/enable_roarr.ts
+++ b/src/process/enable_roarr.ts
@@ -1,7 +1,6 @@
 /**
- * Switches roarr on. It reads `ROARR_LOG` once, when it is imported, and its
- * logger is a dummy for good where that is unset: the daemon would serve and
- * log nothing. Import this module before roarr.
+ * Enables roarr. It reads `ROARR_LOG` once, on import, and logs nothing if that
+ * is not set. Import this module before roarr.
  *
  * @module
  */
--- a/src/process/entries.ts
+++ b/src/process/entries.ts
@@ -1,5 +1,5 @@
 /**
- * Which entry VMs a caller should connect to.
+ * Selection of the entry VMs that a caller should connect to.
  *
  * @module
  */
@@ -8,24 +8,24 @@
 import type { MembershipView } from "./membership_view.ts";
 import type { Random } from "./random.ts";
 
-/** How long a caller may hold an answer. */
+/** How long a caller may cache an answer. */
 const ENTRIES_TTL_MS = 10_000;
 
 const DEFAULT_LIMIT = 4;
-/** A VM in the caller's data centre against one elsewhere. */
+/** Weight of a VM in the caller's data centre; others have weight 1. */
 const LOCAL_WEIGHT = 16;
 
-/** What is asked for. */
+/** Parameters of a selection. */
 export interface EntriesQuery {
   view: MembershipView;
   random: Random;
-  /** The caller's data centre, where it says so. */
+  /** The caller's data centre, if it states one. */
   dataCentre?: DataCentre | undefined;
-  /** How many entries the caller can use. */
+  /** Maximum number of entries. */
   limit?: number | undefined;
 }
 
-/** One address to connect to. */
+/** Address of an entry VM. */
 export interface Entry {
   vm: VmId;
   dataCentre: DataCentre;
@@ -33,53 +33,59 @@
   port: number;
 }
 
-/** Entries in the order in which to try them. */
+/** Entries, in the order in which to try them. */
 export interface EntriesAnswer {
   entries: Entry[];
   ttlMs: number;
 }
 
 /**
- * Chooses entries in a weighted random order, the caller's data centre first
- * by weight. Entries that drain or are believed dead are left out while enough
- * others are there; the answer is empty only if no entry VM is known at all.
+ * Chooses entries in a weighted random order that prefers the caller's data
+ * centre. Entries that are draining or considered dead are left out while
+ * enough others remain. The answer is empty only if no entry VM is listed.
  */
 export function chooseEntries(query: EntriesQuery): EntriesAnswer {
   const { view } = query;
   const limit = Math.max(1, query.limit ?? DEFAULT_LIMIT);
   const listed = view.listEntryVms();
-  const staying = listed.filter((vm) => !view.isDraining(vm.id));
-  const reachable = staying.filter((vm) => view.isReachable(vm.id));
-  const unreachable = staying.filter((vm) => !view.isReachable(vm.id));
-  const ordered = toWeightedOrder(reachable, query);
-  // A VM that sees less than half of the fleet may be the one cut off: its
-  // callers would all be sent to the few VMs on its side. They get the others
-  // as well, after those that surely answer.
-  if (reachable.length * 2 < staying.length || reachable.length === 0) {
-    ordered.push(...toWeightedOrder(unreachable, query));
+  const notDraining = listed.filter((vm) => !view.isDraining(vm.id));
+  const reachable = notDraining.filter((vm) => view.isReachable(vm.id));
+  const unreachable = notDraining.filter((vm) => !view.isReachable(vm.id));
+  const ordered = toWeightedShuffle(reachable, query);
+  // A VM that reaches less than half of the fleet may itself be partitioned.
+  // Its callers also get the unreachable VMs, after the reachable ones, so that
+  // they are not all sent to the few VMs on its side.
+  if (reachable.length * 2 < notDraining.length || reachable.length === 0) {
+    ordered.push(...toWeightedShuffle(unreachable, query));
   }
-  if (ordered.length === 0) ordered.push(...toWeightedOrder(listed, query));
-  const entries = chooseMixed(ordered, reachable.length, limit).map(toEntry);
+  if (ordered.length === 0) ordered.push(...toWeightedShuffle(listed, query));
+  const entries = takeWithUnreachable(ordered, reachable.length, limit).map(
+    toEntry,
+  );
   return { entries, ttlMs: ENTRIES_TTL_MS };
 }
 
-/** The first `limit`, with one place kept for those past `sure`, if any. */
-function chooseMixed(
+/**
+ * Takes the first `limit` VMs. If unreachable VMs follow the reachable ones,
+ * the last place is reserved for one of them.
+ */
+function takeWithUnreachable(
   ordered: ListedVm[],
-  sure: number,
+  reachableCount: number,
   limit: number,
 ): ListedVm[] {
-  const hasOthers = ordered.length > sure && sure >= limit && limit > 1;
-  if (!hasOthers) return ordered.slice(0, limit);
-  return [...ordered.slice(0, limit - 1), ordered[sure]!];
+  const reservesLast = ordered.length > reachableCount &&
+    reachableCount >= limit && limit > 1;
+  if (!reservesLast) return ordered.slice(0, limit);
+  return [...ordered.slice(0, limit - 1), ordered[reachableCount]!];
 }
 
-/** A random order in which greater weights tend to come first. */
-function toWeightedOrder(vms: ListedVm[], query: EntriesQuery): ListedVm[] {
+/** Shuffles so that greater weights tend to come first. */
+function toWeightedShuffle(vms: ListedVm[], query: EntriesQuery): ListedVm[] {
   const { random, dataCentre } = query;
   const scored = vms.map((vm) => {
     const weight = vm.dataCentre === dataCentre ? LOCAL_WEIGHT : 1;
-    // The exponential race: the least of Exp(weight) comes first.
+    // Exponential race: the smallest sample of Exp(weight) comes first.
     return { vm, score: -Math.log(1 - random.next()) / weight };
   });
   return scored.sort((left, right) => left.score - right.score)
--- a/src/process/environment.ts
+++ b/src/process/environment.ts
@@ -1,5 +1,5 @@
 /**
- * Everything a VM's code takes from outside, so that a test can replace it.
+ * Injected dependencies of a VM's code, which tests replace.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 import type { PeerDirectory } from "./peer_api.ts";
 import type { Random } from "./random.ts";
 
-/** What the process is and what requests reach. */
+/** The identity of the process and its dependencies for serving requests. */
 export interface LocalEnvironment {
   vm: VmId;
   incarnation: Incarnation;
@@ -19,11 +19,11 @@
   random: Random;
   log: Log;
   upstreams: UpstreamTransport;
-  /** Absent where ids are the callers' own and no other VM knows of them. */
+  /** Absent if callers choose the request ids, which no other VM knows. */
   peers?: PeerDirectory;
 }
 
-/** What a VM of a published fleet reaches. */
+/** Environment of a VM in a published fleet. */
 export interface Environment extends LocalEnvironment {
   peers: PeerDirectory;
 }
--- a/src/process/fleet_operator.ts
+++ b/src/process/fleet_operator.ts
@@ -1,5 +1,5 @@
 /**
- * What operators see of a VM and, through it, of the fleet.
+ * Operator API of a VM: its own state and its view of the fleet.
  *
  * @module
  */
@@ -17,21 +17,21 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** What the operators' side of a process needs. */
+/** Options of `FleetOperator`. */
 export interface FleetOperatorOptions {
   environment: Environment;
   runtime: VmRuntime;
-  /** Begins the drain that ends the process. */
+  /** Starts the drain that ends the process. */
   startDrain: () => void;
 }
 
-/** A VM that gave no figures, and why. */
+/** A VM whose statistics could not be fetched. */
 interface MissingVm {
   vm: VmId;
   why: string;
 }
 
-/** Answers operators from one process. */
+/** Implements the operator API for one process. */
 export class FleetOperator extends OperatorApi {
   readonly #environment: Environment;
   readonly #runtime: VmRuntime;
@@ -58,7 +58,7 @@
       vm,
       incarnation,
       data_centre: dataCentre,
-      uptime_ms: Math.round(runtime.upMs),
+      uptime_ms: Math.round(runtime.uptimeMs),
       config_version: runtime.getSnapshot()?.version ?? 0,
       list_revision: runtime.membership.getList().revision,
       draining: runtime.isDraining,
@@ -116,11 +116,13 @@
     requestId: RequestId,
   ): Promise<object | undefined> {
     try {
-      const { fate } = await this.#runtime.fateFinder.findStatus(requestId);
-      return fate && formatStatusPage(fate);
+      const { fate: status } = await this.#runtime.requestStatusFinder
+        .findStatus(requestId);
+      return status && formatStatusPage(status);
     } catch (thrown) {
-      // The VM that would know cannot be asked. That is an answer of its own:
-      // "nothing is known" would read as if the request had never come.
+      // The VM that issued the id is unreachable or has lost the status. An
+      // "unknown" status would suggest that the request never arrived, so this
+      // case has its own page.
       return buildUnreachablePage(requestId, thrown);
     }
   }
@@ -135,14 +137,14 @@
           ? this.#runtime.collectStats()
           : await this.#environment.peers.getPeer(id).collectStats();
         const parsed = parseSeries(stats.series);
-        if (parsed === undefined) throw new Error("Unreadable figures");
+        if (parsed === undefined) throw new Error("Unknown statistics format");
         vms.push({
           vm: stats.vm,
           incarnation: stats.incarnation,
           up_ms: stats.upMs,
           config_version: stats.configVersion,
-          // Each VM's own: merged figures of two answers could not be put
-          // together without counting a request twice.
+          // Not merged here: two merged answers could not be combined without
+          // counting requests twice.
           series: parsed,
         });
       } catch (thrown) {
@@ -161,22 +163,22 @@
   }
 
   override checkHealth(): HealthAnswer {
-    return { ok: true, detail: "The process answers" };
+    return { ok: true, detail: "Running" };
   }
 
   override checkReadiness(): HealthAnswer {
     return this.#readiness.check();
   }
 
-  /** What an alert on one VM's view of the fleet needs. */
+  /** Adds the gauges for alerts on this VM's view of the fleet. */
   #addGauges(): void {
     const { metrics, membership, follower } = this.#runtime;
     metrics.addGauge("configuration_version", {
-      help: "Version of the configuration in force; 0 before the first",
+      help: "Version of the active configuration; 0 before the first",
       read: () => follower.getSnapshot()?.version ?? 0,
     });
     metrics.addGauge("membership_revision", {
-      help: "Revision of the membership list in force",
+      help: "Revision of the active membership list",
       read: () => membership.getList().revision,
     });
     metrics.addGauge("view_age_seconds", {
@@ -184,22 +186,22 @@
       read: () => membership.getViewAgeMs() / MS_PER_SECOND,
     });
     metrics.addGauge("requests_in_flight", {
-      help: "Requests that this VM is answering",
+      help: "Requests in flight on this VM",
       read: () => this.#runtime.inFlight,
     });
     metrics.addGauge("unreachable_vms", {
-      help: "Listed entry VMs that this VM believes to be dead",
+      help: "Listed entry VMs that this VM considers dead",
       read: () =>
         membership.listEntryVms().filter(({ id }) => {
           return !membership.isReachable(id);
         }).length,
     });
     metrics.addGauge("draining", {
-      help: "1 while this VM drains",
+      help: "1 while this VM is draining",
       read: () => Number(this.#runtime.isDraining),
     });
     metrics.addGauge("ready", {
-      help: "1 while /readyz says that callers should come here",
+      help: "1 while /readyz reports ready",
       read: () => Number(this.#readiness.check().ok),
     });
   }
--- a/src/process/json_scanner.ts
+++ b/src/process/json_scanner.ts
@@ -1,6 +1,6 @@
 /**
- * Finds where a JSON text goes wrong. `JSON.parse` names no place for many
- * faults and takes a repeated key without a word.
+ * Locates errors in JSON text. `JSON.parse` reports no position for many errors
+ * and accepts duplicate keys.
  *
  * @module
  */
@@ -12,15 +12,15 @@
 const LITERAL = /true|false|null/y;
 const MAX_DEPTH = 64;
 
-/** A fault in a JSON text, at a line and column counted from 1. */
-export interface JsonFault {
+/** An error in JSON text. Line and column start at 1. */
+export interface JsonError {
   line: number;
   column: number;
   message: string;
 }
 
-/** Thrown inside the scanner only. */
-class ScanStop extends Error {
+/** Internal error that stops the scanner. */
+class ScanError extends Error {
   readonly offset: number;
 
   constructor(offset: number, message: string) {
@@ -29,13 +29,13 @@
   }
 }
 
-/** The first syntax fault or repeated key in `text`; undefined if none. */
-export function findJsonFault(text: string): JsonFault | undefined {
+/** Finds the first syntax error or duplicate key; undefined if none. */
+export function findJsonError(text: string): JsonError | undefined {
   try {
     new Scanner(text).run();
     return undefined;
   } catch (thrown) {
-    if (!(thrown instanceof ScanStop)) throw thrown;
+    if (!(thrown instanceof ScanError)) throw thrown;
     return { ...toPosition(text, thrown.offset), message: thrown.message };
   }
 }
@@ -81,28 +81,28 @@
   #readObject(depth: number): void {
     const keys = new Set<string>();
     this.#offset++;
-    if (this.#takeMark("}")) return;
+    if (this.#takeToken("}")) return;
     do {
       this.#takePattern(WHITESPACE);
       const start = this.#offset;
       const key = this.#readString();
       if (keys.has(key)) {
-        throw new ScanStop(start, `key ${key} is given twice`);
+        throw new ScanError(start, `duplicate key ${key}`);
       }
       keys.add(key);
-      if (!this.#takeMark(":")) this.#refuse('expected ":"');
+      if (!this.#takeToken(":")) this.#refuse('expected ":"');
       this.#readValue(depth + 1);
-    } while (this.#takeMark(","));
-    if (!this.#takeMark("}")) this.#refuse('expected "," or "}"');
+    } while (this.#takeToken(","));
+    if (!this.#takeToken("}")) this.#refuse('expected "," or "}"');
   }
 
   #readArray(depth: number): void {
     this.#offset++;
-    if (this.#takeMark("]")) return;
+    if (this.#takeToken("]")) return;
     do {
       this.#readValue(depth + 1);
-    } while (this.#takeMark(","));
-    if (!this.#takeMark("]")) this.#refuse('expected "," or "]"');
+    } while (this.#takeToken(","));
+    if (!this.#takeToken("]")) this.#refuse('expected "," or "]"');
   }
 
   #readString(): string {
@@ -113,14 +113,14 @@
     const isString = this.#text[start] === '"';
     return this.#refuse(
       isString
-        ? "this text in quotes does not end, or holds a wrong escape"
+        ? "unterminated string or invalid escape sequence"
         : "expected a key in double quotes",
     );
   }
 
-  #takeMark(mark: string): boolean {
+  #takeToken(token: string): boolean {
     this.#takePattern(WHITESPACE);
-    if (this.#text[this.#offset] !== mark) return false;
+    if (this.#text[this.#offset] !== token) return false;
     this.#offset++;
     return true;
   }
@@ -136,6 +136,6 @@
   #refuse(message: string): never {
     const isAtEnd = this.#offset >= this.#text.length;
     const end = isAtEnd ? ", but the file ends here" : "";
-    throw new ScanStop(this.#offset, `${message}${end}`);
+    throw new ScanError(this.#offset, `${message}${end}`);
   }
 }
--- a/src/process/latency_histogram.ts
+++ b/src/process/latency_histogram.ts
@@ -1,6 +1,6 @@
 /**
- * Histograms of durations: recorded in milliseconds, kept in microseconds to
- * within one per cent, mergeable and sendable.
+ * Mergeable histograms of durations, with an error of at most one per cent.
+ * They take and return milliseconds and store microseconds.
  *
  * @module
  */
@@ -14,10 +14,10 @@
 const SIGNIFICANT_DIGITS = 2;
 const MICROSECONDS_PER_MS = 1_000;
 const MAX_MICROSECONDS = 2 ** 45;
-/** Packed counts cost a few kilobytes where dense ones cost fourteen. */
+/** Packed counts take a few kilobytes, dense ones take 14 kB. */
 const BUCKET_SIZE = "packed";
 
-/** A distribution of durations. */
+/** Histogram of durations. */
 export class LatencyHistogram {
   readonly #histogram: Histogram;
 
@@ -35,7 +35,7 @@
     }));
   }
 
-  /** Reads what `encode` gave. Throws on any other text. */
+  /** Decodes text from `encode`. Throws on any other text. */
   static decode(encoded: string): LatencyHistogram {
     const histogram = decodeFromCompressedBase64(encoded, BUCKET_SIZE);
     histogram.autoResize = true;
@@ -52,25 +52,25 @@
     this.#histogram.recordValue(bounded);
   }
 
-  /** Adds everything that `other` holds. */
+  /** Adds all values of `other`. */
   merge(other: LatencyHistogram): void {
     this.#histogram.add(other.#histogram);
   }
 
-  /** The duration in milliseconds at `percentile`, 0 to 100; 0 when empty. */
+  /** The duration in milliseconds at `percentile` (0 to 100); 0 if empty. */
   getPercentile(percentile: number): number {
     if (this.count === 0) return 0;
     const microseconds = this.#histogram.getValueAtPercentile(percentile);
     return microseconds / MICROSECONDS_PER_MS;
   }
 
-  /** A text that `decode` reads. */
+  /** Encodes the histogram as text for `decode`. */
   encode(): string {
     return encodeIntoCompressedBase64(this.#histogram);
   }
 }
 
-/** Merges texts of `LatencyHistogram.encode`. Throws on any other text. */
+/** Merges histograms that `encode` wrote. Throws on any other text. */
 export function mergeEncoded(encoded: readonly string[]): string {
   const merged = LatencyHistogram.create();
   for (const text of encoded) merged.merge(LatencyHistogram.decode(text));
--- a/src/process/line_writer.ts
+++ b/src/process/line_writer.ts
@@ -1,33 +1,32 @@
 /**
  * Writes log lines in batches to a stream that may stall.
  *
- * A write for each line costs a system call each; a reader that stops reading
- * would stall the process, or fill its memory with lines. Lines wait a few
- * milliseconds for others, and while the stream takes nothing they are kept
- * up to a bound, then counted and left out.
+ * Batches save a system call per line. If the reader of the stream stops, lines
+ * are buffered up to a limit, then dropped and counted, so that the process
+ * neither blocks nor runs out of memory.
  *
  * @module
  */
 import type { Writable } from "node:stream";
 
-/** Lines wait so long for others, in milliseconds; lost if it is killed. */
-const FLUSH_AFTER_MS = 20;
-/** Characters kept while the stream takes nothing. */
-const MAX_KEPT_CHARACTERS = 262_144;
+/** Maximum delay of a line; lost if the process is killed meanwhile. */
+const FLUSH_DELAY_MS = 20;
+/** Limit on the buffer while the stream is blocked. */
+const MAX_BUFFERED_CHARACTERS = 262_144;
 
-/** Batches lines. */
+/** Buffers lines and writes them in batches. */
 export class LineWriter {
   readonly #stream: Writable;
-  #kept: string[] = [];
+  #buffered: string[] = [];
   #characters = 0;
-  #leftOut = 0;
+  #dropped = 0;
   #timer: NodeJS.Timeout | undefined;
   #isBlocked = false;
 
   constructor(stream: Writable) {
     this.#stream = stream;
-    // When the reader goes away, each write raises EPIPE; unhandled, that
-    // would end a daemon that serves well otherwise.
+    // After the reader has closed the pipe, each write emits EPIPE. Without a
+    // handler, that would end the process.
     stream.on("error", () => {});
     stream.on("drain", () => {
       this.#isBlocked = false;
@@ -39,28 +38,28 @@
     return new LineWriter(stream);
   }
 
-  /** Takes a line with its end; never blocks. */
+  /** Buffers a line, which includes its line end. Never blocks. */
   write(line: string): void {
-    if (this.#characters + line.length > MAX_KEPT_CHARACTERS) {
-      this.#leftOut += 1;
+    if (this.#characters + line.length > MAX_BUFFERED_CHARACTERS) {
+      this.#dropped += 1;
       return;
     }
-    this.#kept.push(line);
+    this.#buffered.push(line);
     this.#characters += line.length;
-    this.#timer ??= setTimeout(() => this.flush(), FLUSH_AFTER_MS);
+    this.#timer ??= setTimeout(() => this.flush(), FLUSH_DELAY_MS);
   }
 
-  /** Hands over what is kept, unless the stream is still full. */
+  /** Writes the buffered lines, unless the stream is blocked. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
-    if (this.#isBlocked || this.#kept.length === 0) return;
-    if (this.#leftOut > 0) {
-      this.#kept.push(`event=log_lines_lost count=${this.#leftOut}\n`);
-      this.#leftOut = 0;
+    if (this.#isBlocked || this.#buffered.length === 0) return;
+    if (this.#dropped > 0) {
+      this.#buffered.push(`event=log_lines_lost count=${this.#dropped}\n`);
+      this.#dropped = 0;
     }
-    const text = this.#kept.join("");
-    this.#kept = [];
+    const text = this.#buffered.join("");
+    this.#buffered = [];
     this.#characters = 0;
     this.#isBlocked = !this.#stream.write(text);
   }
--- a/src/process/log.ts
+++ b/src/process/log.ts
@@ -1,19 +1,19 @@
 /**
- * Logs: one line of key=value pairs for each event.
+ * Event log.
  *
  * @module
  */
 
-/** How much an event matters. */
+/** Severity of an event. */
 export type LogLevel = "debug" | "info" | "warn" | "error";
 
-/** The pairs of one line; undefined values are left out. */
+/** Fields of an event; undefined values are omitted. */
 export type LogFields = Record<
   string,
   string | number | boolean | undefined
 >;
 
-/** Where events go. */
+/** Destination of events. */
 export abstract class Log {
   abstract write(level: LogLevel, event: string, fields: LogFields): void;
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** Drops every event; for tests and benches. */
+/** Discards every event. */
 export class SilentLog extends Log {
   static create(): SilentLog {
     return new SilentLog();
--- a/src/process/log_line.ts
+++ b/src/process/log_line.ts
@@ -1,5 +1,5 @@
 /**
- * The form of a log line: key=value pairs, one event a line.
+ * Format of log lines: one event per line, as key=value pairs.
  *
  * @module
  */
@@ -15,25 +15,25 @@
   "secret",
   "token",
 ]);
-const OWN_KEYS: ReadonlySet<string> = new Set(["time", "level", "event"]);
+const RESERVED_KEYS: ReadonlySet<string> = new Set(["time", "level", "event"]);
 const UNSAFE_IN_KEY = /[^A-Za-z0-9_.-]/g;
-/** Values that may stand without quotes. */
+/** Values that need no quotes. */
 const PLAIN_VALUE = /^[\x21\x23-\x3c\x3e-\x5b\x5d-\x7e]+$/;
-/** Line ends and controls that `JSON.stringify` lets through. */
+/** Line ends and control characters that `JSON.stringify` does not escape. */
 const RAW_LINE_ENDS = /[\u007f-\u009f\u2028\u2029]/g;
 const CREDENTIAL = /\b(Bearer|Basic)\s+[^\s"]+/gi;
 const PAIR = /([A-Za-z0-9_.-]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?:\s|$)/y;
 
-/** One event as it is written. */
+/** One event with its time. */
 export interface LogLine {
-  /** Calendar time, ISO 8601. */
+  /** Wall-clock time, ISO 8601. */
   time: string;
   level: string;
   event: string;
   fields: LogFields;
 }
 
-/** Writes an event as one line without its end; never with a secret in it. */
+/** Formats an event as a line without line end. Redacts secrets. */
 export function formatLogLine(line: LogLine): string {
   const pairs = [
     `time=${line.time}`,
@@ -48,8 +48,8 @@
 }
 
 /**
- * Reads a line back; undefined where it is not of this form. Every value comes
- * back as text.
+ * Parses a line; undefined if it is not in this format. All values are returned
+ * as text.
  */
 export function parseLogLine(text: string): Record<string, string> | undefined {
   const pairs: Record<string, string> = {};
@@ -64,8 +64,8 @@
 
 function formatKey(key: string): string {
   const safe = key.replace(UNSAFE_IN_KEY, "_");
-  // A field named like one of the line's own would hide it from a reader.
-  return OWN_KEYS.has(safe) || safe === "" ? `field_${safe}` : safe;
+  // A field with a reserved key would shadow the line's own value.
+  return RESERVED_KEYS.has(safe) || safe === "" ? `field_${safe}` : safe;
 }
 
 function formatField(key: string, value: string | number | boolean): string {
@@ -74,7 +74,7 @@
   return formatValue(value.replace(CREDENTIAL, `$1 ${REDACTED}`));
 }
 
-/** Whether a field's name says that its text is a secret. */
+/** Whether the text of a field with this name is a secret. */
 function isSecretKey(key: string): boolean {
   const words = key.replace(/([a-z])([A-Z])/g, "$1_$2").toLowerCase();
   return words.split(/[^a-z]+/).some((word) => SECRET_WORDS.has(word));
--- a/src/process/package_version.ts
+++ b/src/process/package_version.ts
@@ -1,5 +1,5 @@
 /**
- * The version of the package that this code belongs to.
+ * Version of this package.
  *
  * @module
  */
@@ -7,17 +7,17 @@
 
 const FILE = "package.json";
 
-/** The version in the nearest package.json above this file. */
+/** Reads the version from the nearest package.json above this file. */
 export function readPackageVersion(): string {
-  // Compiled code stands one folder deeper than its source, so the file is
-  // looked for. Yargs looks beside the program that runs it, which an
-  // installed link does not lead to: it said "unknown".
-  let folder = new URL(".", import.meta.url);
-  while (!existsSync(new URL(FILE, folder))) {
-    const parent = new URL("..", folder);
-    if (parent.href === folder.href) return "unknown";
-    folder = parent;
+  // The file is searched for, since compiled code is one folder deeper than its
+  // source. Yargs looks next to the executable, which fails for an installed
+  // symbolic link: it reports "unknown".
+  let directory = new URL(".", import.meta.url);
+  while (!existsSync(new URL(FILE, directory))) {
+    const parent = new URL("..", directory);
+    if (parent.href === directory.href) return "unknown";
+    directory = parent;
   }
-  const text = readFileSync(new URL(FILE, folder), "utf8");
+  const text = readFileSync(new URL(FILE, directory), "utf8");
   return (JSON.parse(text) as { version: string }).version;
 }
--- a/src/process/random.ts
+++ b/src/process/random.ts
@@ -1,5 +1,5 @@
 /**
- * Random numbers, injected, so that a seed repeats a run.
+ * Injected random numbers, so that a seed reproduces a run.
  *
  * @module
  */
@@ -9,15 +9,15 @@
 
 /** A source of random numbers. */
 export abstract class Random {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   abstract next(): number;
 
-  /** A whole number in [0, bound). */
+  /** Returns an integer in [0, bound). */
   nextInt(bound: number): number {
     return Math.floor(this.next() * bound);
   }
 
-  /** `length` hexadecimal digits. */
+  /** Returns `length` hexadecimal digits. */
   nextHex(length: number): string {
     let text = "";
     while (text.length < length) {
@@ -26,7 +26,7 @@
     return text.slice(0, length);
   }
 
-  /** `items` in an order that is as likely as any other. */
+  /** Returns a uniformly shuffled copy of `items`. */
   toShuffled<T>(items: readonly T[]): T[] {
     const shuffled = [...items];
     for (let last = shuffled.length - 1; last > 0; last--) {
@@ -38,23 +38,23 @@
     return shuffled;
   }
 
-  /** `count` of `items`, or all where there are fewer, each once. */
+  /** Picks `count` items without replacement, or all if there are fewer. */
   pickSample<T>(items: readonly T[], count: number): T[] {
-    const left = [...items];
+    const remaining = [...items];
     const picked: T[] = [];
-    while (picked.length < count && left.length > 0) {
-      picked.push(...left.splice(this.nextInt(left.length), 1));
+    while (picked.length < count && remaining.length > 0) {
+      picked.push(...remaining.splice(this.nextInt(remaining.length), 1));
     }
     return picked;
   }
 
-  /** One of `items`; undefined when there are none. */
+  /** Picks one item; undefined if there are none. */
   pick<T>(items: readonly T[]): T | undefined {
     return items[this.nextInt(items.length)];
   }
 }
 
-/** The operating system's random numbers. */
+/** Random numbers of the operating system. */
 export class SystemRandom extends Random {
   static create(): SystemRandom {
     return new SystemRandom();
@@ -65,7 +65,7 @@
   }
 }
 
-/** A seeded generator (mulberry32): the same seed gives the same numbers. */
+/** Seeded generator (mulberry32) with a reproducible sequence. */
 export class SeededRandom extends Random {
   #state: number;
 
--- a/src/process/rate_limited_log.ts
+++ b/src/process/rate_limited_log.ts
@@ -1,9 +1,9 @@
 /**
- * A log whose volume is bounded.
+ * A log with a bounded number of lines per second.
  *
- * Under load, lines for each step of each request would take processor time
- * from the requests themselves, most of all when much is refused. Beyond the
- * bound lines are counted and left out, the routine ones first.
+ * Under load, and above all when many requests are refused, a line for each
+ * step of each request would take CPU time from the requests. Lines over the
+ * limit are dropped and counted. Warnings and errors have a limit of their own.
  *
  * @module
  */
@@ -11,23 +11,20 @@
 import { Log, type LogFields, type LogLevel } from "./log.ts";
 
 const WINDOW_MS = 1_000;
-/**
- * Lines a second of routine events: about what 60 requests a second write,
- * three times a VM's usual rate.
- */
-const ROUTINE_LINES = 400;
-/** Lines a second of warnings, errors, refusals and failures. */
-const NOTABLE_LINES = 200;
+/** Enough for about 60 requests per second, three times a VM's usual rate. */
+const ROUTINE_LINES_PER_SECOND = 400;
+/** Limit for the levels `warn` and `error`. */
+const WARNING_LINES_PER_SECOND = 200;
 
-/** Passes events on, up to a number of lines a second. */
+/** Forwards events up to a number of lines per second. */
 export class RateLimitedLog extends Log {
   readonly #log: Log;
   readonly #clock: Clock;
   #windowStart = -Infinity;
   #routine = 0;
-  #notable = 0;
-  #leftOut = 0;
-  #leftOutInAll = 0;
+  #warnings = 0;
+  #droppedInWindow = 0;
+  #totalDropped = 0;
 
   constructor(log: Log, clock: Clock) {
     super();
@@ -39,25 +36,25 @@
     return new RateLimitedLog(log, clock);
   }
 
-  /** Lines left out since the start. */
-  get leftOut(): number {
-    return this.#leftOutInAll;
+  /** Number of dropped lines since the start. */
+  get droppedCount(): number {
+    return this.#totalDropped;
   }
 
   write(level: LogLevel, event: string, fields: LogFields): void {
     this.#updateWindow();
     if (!this.#takeLine(level)) {
-      this.#leftOut += 1;
-      this.#leftOutInAll += 1;
+      this.#droppedInWindow += 1;
+      this.#totalDropped += 1;
       return;
     }
     this.#log.write(level, event, fields);
   }
 
   #takeLine(level: LogLevel): boolean {
-    const isNotable = level === "warn" || level === "error";
-    if (!isNotable) return this.#routine++ < ROUTINE_LINES;
-    return this.#notable++ < NOTABLE_LINES;
+    const isWarning = level === "warn" || level === "error";
+    if (!isWarning) return this.#routine++ < ROUTINE_LINES_PER_SECOND;
+    return this.#warnings++ < WARNING_LINES_PER_SECOND;
   }
 
   #updateWindow(): void {
@@ -65,9 +62,11 @@
     if (now - this.#windowStart < WINDOW_MS) return;
     this.#windowStart = now;
     this.#routine = 0;
-    this.#notable = 0;
-    if (this.#leftOut === 0) return;
-    this.#log.write("warn", "log_lines_left_out", { count: this.#leftOut });
-    this.#leftOut = 0;
+    this.#warnings = 0;
+    if (this.#droppedInWindow === 0) return;
+    this.#log.write("warn", "log_lines_left_out", {
+      count: this.#droppedInWindow,
+    });
+    this.#droppedInWindow = 0;
   }
 }
--- a/src/process/readiness.ts
+++ b/src/process/readiness.ts
@@ -1,5 +1,5 @@
 /**
- * Whether a VM is of use to callers yet.
+ * Readiness check of a VM.
  *
  * @module
  */
@@ -9,11 +9,11 @@
 import type { VmRuntime } from "./runtime.ts";
 import { buildShardKey, listNonEmptyShards } from "./scheduler/index.ts";
 
-/** Decides what `/readyz` says. */
+/** Computes the result of `/readyz`. */
 export class Readiness {
   readonly #environment: Environment;
   readonly #runtime: VmRuntime;
-  #wasSettled = false;
+  #wasReady = false;
 
   constructor(environment: Environment, runtime: VmRuntime) {
     this.#environment = environment;
@@ -29,19 +29,19 @@
       return { ok: false, detail: "No configuration yet" };
     }
     if (this.#runtime.isDraining) return { ok: false, detail: "Draining" };
-    // Once ready, a VM that takes over one more shard stays so: the fleet's
-    // other shards are served as before.
-    this.#wasSettled ||= this.#hasSettledShards();
-    if (this.#wasSettled) return { ok: true, detail: "Serving" };
-    return { ok: false, detail: "Its shards do not grant slots yet" };
+    // A ready VM that takes over another shard stays ready, since requests for
+    // all other shards are served as before.
+    this.#wasReady ||= this.#canGrantAllShards();
+    if (this.#wasReady) return { ok: true, detail: "Serving" };
+    return { ok: false, detail: "Owned shards do not grant slots yet" };
   }
 
   /**
-   * Whether every shard that this VM owns grants slots. A new owner settles
-   * first. Were the VM called ready before, requests whose target is shorter
-   * than the settling would be refused though all upstreams idle.
+   * Whether every shard that this VM owns grants slots. A new owner does not
+   * during its grace period; if the VM were ready then, requests with a target
+   * shorter than the rest of that period would be refused with idle upstreams.
    */
-  #hasSettledShards(): boolean {
+  #canGrantAllShards(): boolean {
     const owners = this.#runtime.owners.listOwners();
     return this.#listOwnShards().every((shard) =>
       owners.some((owner) => owner.shard === shard && owner.canGrant)
--- a/src/process/request_metrics.ts
+++ b/src/process/request_metrics.ts
@@ -1,6 +1,6 @@
 /**
- * One VM's metrics: Prometheus text for `/metrics`, and the figures for the
- * report on service-level burn.
+ * One VM's metrics: Prometheus text for `/metrics`, and the statistics for the
+ * error budget report.
  *
  * @module
  */
@@ -14,13 +14,13 @@
 
 const PREFIX = "persimmonslip_";
 const QUANTILES: readonly number[] = [0.5, 0.9, 0.99, 0.999];
-/** Quantiles cover the last five to ten minutes. */
+/** Two slots: quantiles cover the last five to ten minutes. */
 const QUANTILE_SLOT_MS = 300_000;
 const QUANTILE_SLOTS = 2;
 const MS_PER_SECOND = 1_000;
 
-/** Figures of durations of one class and step. */
-interface StepFigures {
+/** Durations of one step for one class. */
+interface StepStats {
   className: string;
   step: string;
   recent: SlidingHistogram;
@@ -33,7 +33,7 @@
   readonly #clock: Clock;
   readonly #burn: BurnRecorder;
   readonly #registry = new Registry();
-  readonly #steps = new Map<string, StepFigures>();
+  readonly #steps = new Map<string, StepStats>();
   readonly #requests: Counter<"class" | "result" | "step">;
   readonly #tokens: Counter<"class">;
   readonly #wastedTokens: Counter<"class">;
@@ -45,7 +45,8 @@
     const registers = [this.#registry];
     this.#requests = new Counter({
       name: `${PREFIX}requests_total`,
-      help: "Finished requests by class, result and the step that decided it",
+      help:
+        "Finished requests by class, result and the step that decided the result",
       labelNames: ["class", "result", "step"],
       registers,
     });
@@ -57,7 +58,7 @@
     });
     this.#wastedTokens = new Counter({
       name: `${PREFIX}wasted_tokens_total`,
-      help: "Tokens that were generated and thrown away, by class",
+      help: "Generated tokens that were discarded, by class",
       labelNames: ["class"],
       registers,
     });
@@ -70,40 +71,42 @@
 
   noteStep(className: ClassName, step: string, ms: number): void {
     const key = JSON.stringify([className, step]);
-    let figures = this.#steps.get(key);
-    if (figures === undefined) {
+    let stats = this.#steps.get(key);
+    if (stats === undefined) {
       const recent = SlidingHistogram.create({
         clock: this.#clock,
         slotMs: QUANTILE_SLOT_MS,
         slots: QUANTILE_SLOTS,
       });
-      figures = { className, step, recent, count: 0, sumMs: 0 };
-      this.#steps.set(key, figures);
+      stats = { className, step, recent, count: 0, sumMs: 0 };
+      this.#steps.set(key, stats);
     }
-    figures.recent.record(ms);
-    figures.count++;
-    figures.sumMs += ms;
+    stats.recent.record(ms);
+    stats.count++;
+    stats.sumMs += ms;
   }
 
-  noteFinished(figures: FinishedRequest): void {
-    const { className, result } = figures;
-    // The step of an answer in time is always the same, and says nothing.
-    const step = result === "met" ? "" : figures.step;
+  noteFinished(request: FinishedRequest): void {
+    const { className, result } = request;
+    // A request that met its target always ends in the same step: no label.
+    const step = result === "met" ? "" : request.step;
     this.#requests.inc({ class: className, result, step });
-    this.#tokens.inc({ class: className }, figures.tokens);
-    this.#wastedTokens.inc({ class: className }, figures.wastedTokens);
-    this.noteStep(className, "total", figures.totalMs);
-    if (figures.firstTokenMs !== undefined) {
-      this.noteStep(className, "first_token", figures.firstTokenMs);
+    this.#tokens.inc({ class: className }, request.tokens);
+    this.#wastedTokens.inc({ class: className }, request.wastedTokens);
+    this.noteStep(className, "total", request.totalMs);
+    if (request.firstTokenMs !== undefined) {
+      this.noteStep(className, "first_token", request.firstTokenMs);
     }
-    if (figures.betweenTokensMs !== undefined) {
-      this.noteStep(className, "between_tokens", figures.betweenTokensMs);
+    if (request.betweenTokensMs !== undefined) {
+      this.noteStep(className, "between_tokens", request.betweenTokensMs);
     }
-    this.#burn.record(figures);
+    this.#burn.record(request);
   }
 
-  /** Adds a figure that is read each time the metrics are; its name without
-   * the product's prefix. */
+  /**
+   * Adds a gauge that is read at each scrape. `name` does not include the
+   * product's prefix.
+   */
   addGauge(name: string, options: { help: string; read: () => number }): void {
     new Gauge({
       name: PREFIX + name,
@@ -115,17 +118,17 @@
     });
   }
 
-  /** The Prometheus text format. */
+  /** Renders the metrics in the Prometheus text format. */
   renderPrometheus(): Promise<string> {
     return this.#registry.metrics();
   }
 
-  /** The content type of `renderPrometheus`. */
+  /** Content type of `renderPrometheus`. */
   get contentType(): string {
     return this.#registry.contentType;
   }
 
-  /** This VM's figures for the report on service-level burn. */
+  /** Collects this VM's statistics for the error budget report. */
   collectSeries(): BurnSeries {
     return this.#burn.collect();
   }
@@ -134,7 +137,8 @@
     const steps = this.#steps;
     new Gauge({
       name: `${PREFIX}step_seconds`,
-      help: "Quantiles of durations over the last minutes, by class and step",
+      help:
+        "Quantiles of durations over the last 5 to 10 minutes, by class and step",
       labelNames: ["class", "step", "quantile"],
       registers: [this.#registry],
       collect() {
@@ -160,7 +164,7 @@
 
   #addStepCounter(
     name: string,
-    options: { help: string; read: (step: StepFigures) => number },
+    options: { help: string; read: (step: StepStats) => number },
   ): void {
     const steps = this.#steps;
     new Counter({
--- a/src/process/roarr_log.ts
+++ b/src/process/roarr_log.ts
@@ -13,16 +13,16 @@
 
 const LEVELS: readonly LogLevel[] = ["debug", "info", "warn", "error"];
 
-/** What a log needs. */
+/** Options of `RoarrLog`. */
 export interface RoarrLogOptions {
   clock: Clock;
-  /** Events below this level are dropped. */
+  /** Minimum level; events below it are discarded. */
   level: LogLevel;
-  /** Takes each line with its end; standard output by default. */
+  /** Writes a line including its line end; standard output by default. */
   writeLine?: (line: string) => void;
 }
 
-/** What travels in a roarr message. */
+/** Context of a roarr message. */
 interface EventContext {
   time: string;
   level: LogLevel;
@@ -30,17 +30,17 @@
 }
 
 /**
- * One key=value line for each event. Roarr has one writer for a process, so
- * there is one log a process too: a later `create` replaces the writer.
+ * Writes one key=value line per event. Roarr has one writer per process, so a
+ * later `create` replaces the writer of the earlier one.
  */
 export class RoarrLog extends Log {
   readonly #clock: Clock;
-  readonly #least: number;
+  readonly #minLevelIndex: number;
 
   constructor(options: RoarrLogOptions) {
     super();
     this.#clock = options.clock;
-    this.#least = LEVELS.indexOf(options.level);
+    this.#minLevelIndex = LEVELS.indexOf(options.level);
     ROARR.serializeMessage = formatMessage;
     ROARR.write = options.writeLine ?? openStandardOutput();
   }
@@ -50,9 +50,9 @@
   }
 
   write(level: LogLevel, event: string, fields: LogFields): void {
-    if (LEVELS.indexOf(level) < this.#least) return;
+    if (LEVELS.indexOf(level) < this.#minLevelIndex) return;
     const time = new Date(this.#clock.wallTime()).toISOString();
-    // Roarr expands `%` in a message, so the event travels as an argument.
+    // Roarr expands `%` in a message, so the event is passed as an argument.
     Roarr[level]({ time, level, fields }, "%s", event);
   }
 }
--- a/src/process/runtime.ts
+++ b/src/process/runtime.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM without its sockets: every part, joined.
+ * Components of one entry VM, without the listeners.
  *
  * @module
  */
@@ -42,31 +42,31 @@
   ShardOwners,
 } from "./scheduler/index.ts";
 
-/** How often the owned shards' summaries are announced, in milliseconds. */
-const SUMMARY_EVERY_MS = 500;
-/** Retries that a fleet without a configuration may make: none. */
+/** Interval between two announcements of the owned shards' summaries. */
+const SUMMARY_INTERVAL_MS = 500;
+/** Share of retries that is allowed before the first configuration. */
 const NO_RETRIES = 0;
 
-/** What one VM is made of. */
+/** Options of `VmRuntime`. */
 export interface RuntimeOptions {
   environment: Environment;
-  /** This VM as it would be listed. */
+  /** This VM as it appears in the membership list. */
   self: ListedVm;
   source: ConfigurationSource;
-  /** What the source is called in reports. */
+  /** Name of the source in reports and logs. */
   sourceName?: string;
-  /** VMs to ask for a configuration before any list is known. */
+  /** VMs to fetch a configuration from before any list is known. */
   seeds: readonly VmId[];
-  /** How long callers may keep an answer of `GET /v1/entries`. */
+  /** How long callers may cache an answer of `GET /v1/entries`. */
   entriesTtlMs?: number;
   retainedAnswersBytes?: number;
-  /** Decisions that a bench switches off; all are on by default. */
+  /** Scheduler features; all are on by default. */
   features?: Partial<SchedulerFeatures>;
-  /** Requests that may wait in a shard; a test sets it low. */
+  /** Maximum number of requests that wait in a shard. */
   queueBound?: number;
 }
 
-/** One entry VM: answers callers through `handle`, and peers through `api`. */
+/** One entry VM: serves callers through `handle` and peers through `api`. */
 export class VmRuntime extends CallerHandler {
   readonly api: PeerApi;
   readonly membership: FleetMembership;
@@ -78,8 +78,8 @@
   readonly claims: ProcessExecutionClaims;
   readonly requestStatuses: RequestStatusStore;
   readonly quarantine: RequestQuarantine;
-  readonly #suspects: SuspectGossip<VmId>;
-  readonly fateFinder: RequestStatusFinder;
+  readonly #suspectGossip: SuspectGossip<VmId>;
+  readonly requestStatusFinder: RequestStatusFinder;
   readonly metrics: ProcessMetrics;
   readonly #environment: Environment;
   readonly #entriesTtlMs: number | undefined;
@@ -143,9 +143,9 @@
       clock: environment.clock,
       log: environment.log,
       isListening: (upstream) => environment.upstreams.isListening(upstream),
-      announce: (entries) => this.#suspects.announce(entries),
+      announce: (entries) => this.#suspectGossip.announce(entries),
     });
-    this.#suspects = createPeerSuspectGossip({
+    this.#suspectGossip = createPeerSuspectGossip({
       environment,
       membership,
       quarantine: this.quarantine,
@@ -155,7 +155,7 @@
         ? {}
         : { maxBytes: options.retainedAnswersBytes },
     );
-    this.fateFinder = RequestStatusFinder.create({
+    this.requestStatusFinder = RequestStatusFinder.create({
       environment,
       requestStatuses: this.requestStatuses,
       answers: this.#answers,
@@ -176,7 +176,7 @@
       follower: this.follower,
       limits: this.limits,
       claims: this.claims,
-      requestStatusFinder: this.fateFinder,
+      requestStatusFinder: this.requestStatusFinder,
       quarantine: this.quarantine,
       collectStats: () => this.collectStats(),
     }));
@@ -186,25 +186,25 @@
     return new VmRuntime(options);
   }
 
-  /** Starts every task of the process. */
+  /** Starts all background tasks. */
   start(): void {
     this.membership.start();
     this.follower.start();
     this.prober.start();
-    this.#suspects.start();
+    this.#suspectGossip.start();
     this.owners.start();
     this.leases.start();
     void this.#engineController.run(this.#stopped.signal);
     void this.#announceSummaries();
   }
 
-  /** Stops every task; requests in flight are left to their listeners. */
+  /** Stops all background tasks. The listeners end the requests in flight. */
   stop(): void {
     this.#stopped.abort();
     this.leases.stop();
     this.owners.stop();
     this.prober.stop();
-    this.#suspects.stop();
+    this.#suspectGossip.stop();
     this.follower.stop();
     this.limits.close();
     this.membership.stop();
@@ -223,8 +223,8 @@
   }
 
   /**
-   * Announces the drain and hands the owned queues on. Requests are served as
-   * before, so that callers that hold this VM's address lose nothing.
+   * Announces the drain and hands the owned shards over. Requests are still
+   * served, since callers may have cached this VM's address.
    */
   async startDraining(): Promise<void> {
     if (this.#isDraining) return;
@@ -233,43 +233,43 @@
     await this.owners.handOverAll();
   }
 
-  /** The configuration in force; undefined before the first. */
+  /** The active configuration; undefined before the first. */
   getSnapshot(): Snapshot | undefined {
     return this.follower.getSnapshot();
   }
 
-  /** Whether the VM drains. */
+  /** Whether the VM is draining. */
   get isDraining(): boolean {
     return this.#isDraining;
   }
 
-  /** Requests that are being answered. */
+  /** Number of requests in flight. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Time since the process started, in milliseconds. */
-  get upMs(): number {
+  /** Time since the runtime was created, in milliseconds. */
+  get uptimeMs(): number {
     return this.#environment.clock.now() - this.#startedAt;
   }
 
-  /** This VM's own figures for the report on service-level burn. */
+  /** This VM's statistics for the error budget report. */
   collectStats(): StatsAnswer {
     return {
       vm: this.#environment.vm,
       incarnation: this.#environment.incarnation,
-      upMs: this.upMs,
+      upMs: this.uptimeMs,
       configVersion: this.getSnapshot()?.version ?? 0,
       series: this.metrics.collectSeries(),
     };
   }
 
-  /** An id for a request that is refused before a task begins. */
+  /** Issues an id for a request that is refused before it is handled. */
   issueId(): RequestId {
     return this.claims.issueId();
   }
 
-  /** What requests use of the process. */
+  /** Builds the services of the process that requests use. */
   #buildServices(): RequestServices {
     const environment = this.#environment;
     return {
@@ -290,11 +290,11 @@
       isDraining: () => this.#isDraining,
       entries: (query) => formatEntries(this.#chooseEntries(query)),
       findStatus: (requestId, find) =>
-        this.fateFinder.findStatus(requestId, find),
+        this.requestStatusFinder.findStatus(requestId, find),
     };
   }
 
-  /** The upstreams of one shard of a pool, for orders. */
+  /** Lists the upstreams of one shard of a pool, for engine commands. */
   #listUpstreams(pool: PoolName, index: number): VmId[] {
     const record = this.getSnapshot()?.pools.get(pool);
     if (record === undefined) return [];
@@ -323,7 +323,7 @@
       for (const summary of this.owners.listSummaries()) {
         this.prober.announceSummary(summary);
       }
-      await clock.sleep(SUMMARY_EVERY_MS, signal);
+      await clock.sleep(SUMMARY_INTERVAL_MS, signal);
     }
   }
 }
--- a/src/process/settings.ts
+++ b/src/process/settings.ts
@@ -1,6 +1,5 @@
 /**
- * The daemon's settings: one JSON file, checked as a whole before anything
- * starts.
+ * The daemon's settings: one JSON file, validated as a whole at startup.
  *
  * @module
  */
@@ -10,40 +9,40 @@
 import { StepError, toError } from "../errors.ts";
 import type { DataCentre, VmId } from "../ids.ts";
 import { formatPath } from "../version/record_problem.ts";
-import { findJsonFault } from "./json_scanner.ts";
+import { findJsonError } from "./json_scanner.ts";
 import type { LogLevel } from "./log.ts";
 import { SETTINGS_SCHEMA } from "./settings_schema.ts";
 
 const SECRET_KEYS: readonly string[] = ["secret", "token"];
 const MAX_FOUND_LENGTH = 60;
 
-/** Files of one listener's TLS; read again when they change. */
+/** TLS files of one listener; reloaded on SIGHUP. */
 export interface TlsSettings {
   certFile: string;
   keyFile: string;
 }
 
-/** The peers' files; VMs check each other's listeners. */
+/** TLS files of the peers' listener, whose certificate other VMs verify. */
 export interface PeerTlsSettings extends TlsSettings {
-  /** The authority that vouches for the VMs; `certFile` without it. */
+  /** CA of the VMs' certificates; `certFile` by default. */
   caFile?: string;
 }
 
 /** One listener. */
 export interface ListenerSettings {
-  /** 0 lets the system choose. */
+  /** 0 for a port that the system chooses. */
   port: number;
   /** IP address to listen on. */
   host: string;
   tls?: TlsSettings;
 }
 
-/** Where configuration and membership come from. */
+/** Source of the configuration and the membership list. */
 export type SourceSettings =
   | { kind: "service"; urls: string[] }
   | { kind: "directory"; path: string };
 
-/** Limits on what one caller may send. */
+/** Limits on callers' requests and connections. */
 export interface LimitSettings {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -52,14 +51,14 @@
   bodyTimeoutMs: number;
 }
 
-/** Another entry VM, to be asked before any membership list is known. */
+/** Another entry VM, queried before any membership list is known. */
 export interface SeedSettings {
   vm: VmId;
   address: string;
   peerPort: number;
 }
 
-/** Everything that the daemon is told at its start. */
+/** Settings of the daemon. */
 export interface Settings {
   vm: VmId;
   dataCentre: DataCentre;
@@ -73,21 +72,21 @@
   source: SourceSettings;
   limits: LimitSettings;
   drain: {
-    /** Longest wait for requests in flight. */
+    /** Maximum duration of a drain. */
     graceMs: number;
-    /** How long callers may keep an answer of `/v1/entries`. */
+    /** How long callers may cache an answer of `/v1/entries`. */
     entriesTtlMs: number;
   };
   logLevel: LogLevel;
-  /** Memory for answers kept for resubmitted requests. */
+  /** Memory for answers that are retained for resubmitted requests. */
   retainedAnswersBytes: number;
   seeds: SeedSettings[];
 }
 
-/** Where a secret named by `{"env": "NAME"}` is looked up. */
+/** Environment in which `{"env": "NAME"}` is looked up. */
 export type SecretSource = Record<string, string | undefined>;
 
-/** A settings file that cannot be used; the message names the place. */
+/** Invalid settings. The message names the file and the JSON path. */
 export class SettingsError extends StepError {
   readonly fileName: string;
   /** JSON path such as `$.listeners.callers.port`; `$` for the whole file. */
@@ -110,7 +109,7 @@
   }
 }
 
-/** Reads and checks a settings file. Throws `SettingsError`. */
+/** Reads and validates a settings file. Throws `SettingsError`. */
 export function readSettings(
   path: string,
   secrets: SecretSource = process.env,
@@ -121,22 +120,22 @@
   } catch (thrown) {
     throw new SettingsError(
       { fileName: path, jsonPath: "$", cause: toError(thrown) },
-      "Expected a file that can be read",
+      "Expected a readable file",
     );
   }
   return parseSettings(text, path, { secrets });
 }
 
-/** Checks settings given as text. Throws `SettingsError`. */
+/** Parses and validates settings. Throws `SettingsError`. */
 export function parseSettings(
   text: string,
   fileName: string,
   options: { secrets: SecretSource } = { secrets: process.env },
 ): Settings {
-  const written = parseJson(text, fileName);
-  const result = SETTINGS_SCHEMA.safeParse(written);
+  const input = parseJson(text, fileName);
+  const result = SETTINGS_SCHEMA.safeParse(input);
   if (!result.success) {
-    throw toSettingsError(result.error.issues, { fileName, written });
+    throw toSettingsError(result.error.issues, { fileName, input });
   }
   const { listeners } = result.data;
   const place = { fileName, secrets: options.secrets };
@@ -159,37 +158,37 @@
 }
 
 function parseJson(text: string, fileName: string): unknown {
-  const fault = findJsonFault(text);
-  if (fault) {
-    const place = `line ${fault.line}, column ${fault.column}`;
+  const error = findJsonError(text);
+  if (error) {
+    const place = `line ${error.line}, column ${error.column}`;
     throw new SettingsError(
       { fileName, jsonPath: "$" },
-      `Not valid JSON at ${place}: ${fault.message}`,
+      `Invalid JSON at ${place}: ${error.message}`,
     );
   }
   return JSON.parse(text);
 }
 
 function getSecret(
-  written: string | { env: string },
+  input: string | { env: string },
   place: { fileName: string; jsonPath: string; secrets: SecretSource },
 ): string {
-  if (typeof written === "string") return written;
-  const value = place.secrets[written.env];
+  if (typeof input === "string") return input;
+  const value = place.secrets[input.env];
   if (value) return value;
   throw new SettingsError(
     place,
-    `Expected the environment variable ${written.env} to be set`,
+    `Expected the environment variable ${input.env} to be set`,
   );
 }
 
 function toSettingsError(
   issues: readonly core.$ZodIssue[],
-  options: { fileName: string; written: unknown },
+  options: { fileName: string; input: unknown },
 ): SettingsError {
   const [first, ...others] = issues.map((issue) => ({
     jsonPath: formatPath(getIssuePath(issue)),
-    expected: formatIssue(issue, options.written),
+    expected: formatIssue(issue, options.input),
   }));
   const rest = others.map((line) => `\n${line.jsonPath}: ${line.expected}`);
   return new SettingsError(
@@ -204,23 +203,23 @@
     : issue.path;
 }
 
-function formatIssue(issue: core.$ZodIssue, written: unknown): string {
-  if (issue.code === "unrecognized_keys") return "There is no such setting";
+function formatIssue(issue: core.$ZodIssue, input: unknown): string {
+  if (issue.code === "unrecognized_keys") return "Unknown setting";
   const isObjectExpected = issue.code === "invalid_type" &&
     issue.expected === "object";
   const expected = isObjectExpected ? "an object" : issue.message;
-  return `Expected ${expected}, but ${formatFound(issue.path, written)}`;
+  return `Expected ${expected}, but ${formatFound(issue.path, input)}`;
 }
 
-/** What stands at `path`, shortened, and never a secret. */
-function formatFound(path: readonly PropertyKey[], written: unknown): string {
-  let value = written;
+/** Describes the value at `path`, shortened, without secrets. */
+function formatFound(path: readonly PropertyKey[], input: unknown): string {
+  let value = input;
   for (const key of path) {
     value = (value as Record<PropertyKey, unknown> | undefined)?.[key];
   }
   if (value === undefined) return "it is missing";
   if (path.some((key) => SECRET_KEYS.includes(String(key)))) {
-    return "found something else";
+    return "found an invalid value";
   }
   const text = JSON.stringify(value);
   return text.length > MAX_FOUND_LENGTH
--- a/src/process/settings_schema.ts
+++ b/src/process/settings_schema.ts
@@ -1,13 +1,13 @@
 /**
- * The schema of the daemon's settings as they stand in the file. The
- * descriptions here are the ones that docs/SETTINGS.md shows.
+ * Schema of the daemon's settings file, with the descriptions that
+ * docs/SETTINGS.md shows.
  *
  * @module
  */
 import { z } from "zod";
 
 const MAX_PORT = 65_535;
-const LEVEL_EXPECTED = "one of debug, info, warn, error";
+const EXPECTED_LEVEL = "one of debug, info, warn, error";
 const DEFAULT_HOST = "0.0.0.0";
 const DEFAULT_MAX_HEADER_BYTES = 16_384;
 const DEFAULT_MAX_BODY_BYTES = 4_194_304;
@@ -18,29 +18,29 @@
 const DEFAULT_ENTRIES_TTL_MS = 10_000;
 const DEFAULT_RETAINED_ANSWERS_BYTES = 16_777_216;
 
-const NAME = z.string("a text").min(1, "a text that is not empty");
+const NAME = z.string("a string").min(1, "a non-empty string");
 
 const PORT = z.int(`a port number from 0 to ${MAX_PORT}`)
   .min(0, `a port number from 0 to ${MAX_PORT}`)
   .max(MAX_PORT, `a port number from 0 to ${MAX_PORT}`);
 
-const COUNT = z.int("a whole number of 1 or more")
-  .min(1, "a whole number of 1 or more");
+const COUNT = z.int("an integer of 1 or more")
+  .min(1, "an integer of 1 or more");
 
 const IP_ADDRESS = z.union([z.ipv4(), z.ipv6()], "an IP address");
 
 const SECRET = z.union([
   z.string().min(1),
   z.strictObject({ env: z.string().min(1) }),
-], 'a text, or {"env": "NAME"} to read it from the environment');
+], 'a string, or {"env": "NAME"} to read it from the environment');
 
 const TLS = z.strictObject({
   cert_file: NAME.describe("PEM file of the certificate chain"),
   key_file: NAME.describe("PEM file of the private key"),
 });
 
-// No other listener asks for certificates. A `ca_file` there would read as if
-// callers without one were turned away, so it is refused as unknown.
+// No listener requests client certificates. `ca_file` is for peers only: on
+// another listener it would suggest that clients need a certificate.
 const PEER_TLS = TLS.extend({
   ca_file: NAME.optional().describe(
     "PEM file of the authority of the VMs' certificates; else `cert_file`",
@@ -50,7 +50,7 @@
 const HOST = IP_ADDRESS.default(DEFAULT_HOST)
   .describe("IP address to listen on");
 
-const PLAIN_WITHOUT = "Plain HTTP where this is left out";
+const DEFAULT_TLS_DESCRIPTION = "Plain HTTP where this is left out";
 
 const HTTP_URL = z.url({ protocol: /^https?$/, error: "an http or https URL" });
 
@@ -58,19 +58,19 @@
   callers: z.strictObject({
     port: PORT.describe("Port for callers"),
     host: HOST,
-    tls: TLS.optional().describe(PLAIN_WITHOUT),
+    tls: TLS.optional().describe(DEFAULT_TLS_DESCRIPTION),
   }),
   peers: z.strictObject({
     port: PORT.describe("Port for the other entry VMs"),
     host: HOST,
     secret: SECRET.describe("Secret that all entry VMs share"),
-    tls: PEER_TLS.optional().describe(PLAIN_WITHOUT),
+    tls: PEER_TLS.optional().describe(DEFAULT_TLS_DESCRIPTION),
   }),
   operators: z.strictObject({
     port: PORT.describe("Port for operators and the tool"),
     host: HOST,
     token: SECRET.describe("Bearer token of the operator API"),
-    tls: TLS.optional().describe(PLAIN_WITHOUT),
+    tls: TLS.optional().describe(DEFAULT_TLS_DESCRIPTION),
   }),
 });
 
@@ -112,7 +112,7 @@
   peer_port: PORT.describe("Its port for peers"),
 });
 
-/** Settings as written, with the defaults filled in on parsing. */
+/** Settings as they are in the file; parsing fills in the defaults. */
 export const SETTINGS_SCHEMA = z.strictObject({
   vm: NAME.describe("This VM's name in the membership list"),
   data_centre: NAME.describe("This VM's data centre"),
@@ -122,12 +122,12 @@
   source: SOURCE,
   limits: LIMITS.prefault({}),
   drain: DRAIN.prefault({}),
-  log_level: z.enum(["debug", "info", "warn", "error"], LEVEL_EXPECTED).default(
+  log_level: z.enum(["debug", "info", "warn", "error"], EXPECTED_LEVEL).default(
     "info",
   )
     .describe("Least level of the events that are logged"),
-  retained_answers_bytes: z.int("a whole number of 0 or more")
-    .min(0, "a whole number of 0 or more")
+  retained_answers_bytes: z.int("an integer of 0 or more")
+    .min(0, "an integer of 0 or more")
     .default(DEFAULT_RETAINED_ANSWERS_BYTES)
     .describe("Memory for answers kept for resubmitted requests"),
   seeds: z.array(SEED, "a list of entry VMs").default([]),
--- a/src/process/sliding_histogram.ts
+++ b/src/process/sliding_histogram.ts
@@ -1,22 +1,22 @@
 /**
- * A histogram of the recent past, in a ring of slots.
+ * Sliding-window histogram of durations, in time slots.
  *
  * @module
  */
 import type { Clock } from "./clock.ts";
 import { LatencyHistogram } from "./latency_histogram.ts";
 
-/** How far back a sliding histogram looks. */
+/** Window of a sliding histogram: `slots` slots of `slotMs` milliseconds. */
 export interface SlidingWindow {
   clock: Clock;
   slotMs: number;
   slots: number;
 }
 
-/** Holds what was recorded in the last `slots` times `slotMs`. */
+/** Histogram of the durations that were recorded in the window. */
 export class SlidingHistogram {
   readonly #window: SlidingWindow;
-  readonly #ring = new Map<number, LatencyHistogram>();
+  readonly #histograms = new Map<number, LatencyHistogram>();
 
   constructor(window: SlidingWindow) {
     this.#window = window;
@@ -28,20 +28,20 @@
 
   record(ms: number): void {
     const slot = this.#getSlot();
-    let histogram = this.#ring.get(slot);
+    let histogram = this.#histograms.get(slot);
     if (histogram === undefined) {
       this.#dropOld(slot);
       histogram = LatencyHistogram.create();
-      this.#ring.set(slot, histogram);
+      this.#histograms.set(slot, histogram);
     }
     histogram.record(ms);
   }
 
-  /** Everything in the window, as one histogram. */
+  /** Merges the window into one histogram. */
   collect(): LatencyHistogram {
     this.#dropOld(this.#getSlot());
     const merged = LatencyHistogram.create();
-    for (const histogram of this.#ring.values()) merged.merge(histogram);
+    for (const histogram of this.#histograms.values()) merged.merge(histogram);
     return merged;
   }
 
@@ -50,8 +50,8 @@
   }
 
   #dropOld(current: number): void {
-    for (const slot of this.#ring.keys()) {
-      if (slot <= current - this.#window.slots) this.#ring.delete(slot);
+    for (const slot of this.#histograms.keys()) {
+      if (slot <= current - this.#window.slots) this.#histograms.delete(slot);
     }
   }
 }
--- a/test/process/configuration_deltas_test.ts
+++ b/test/process/configuration_deltas_test.ts
@@ -7,7 +7,7 @@
 } from "../../src/process/configuration_deltas.ts";
 import {
   computeDigest,
-  RecordMemory,
+  RecordCache,
 } from "../../src/process/configuration_records.ts";
 import { ConfigurationStore } from "../../src/process/configuration_store.ts";
 import { buildSnapshot } from "../../src/version/index.ts";
@@ -35,35 +35,34 @@
   return records;
 }
 
-describe("steps", () => {
-  it("lead from any held content to the newest, or are not given", () => {
+describe("configuration deltas", () => {
+  it("convert any stored content to the newest, or are not available", () => {
     fc.assert(fc.property(fc.array(CONTENT, { minLength: 2 }), (contents) => {
       const history = DeltaHistory.create();
       const all = contents.map(toContent);
       all.slice(1).forEach((to, index) => history.add(all[index]!, to));
       for (const content of all) {
-        const steps = history.listFrom(content.digest);
-        if (steps === undefined) continue;
-        const sent = JSON.parse(JSON.stringify(steps));
+        const deltas = history.listFrom(content.digest);
+        if (deltas === undefined) continue;
+        const sent = JSON.parse(JSON.stringify(deltas));
         expect(applyDeltas(content, sent)).toEqual(all.at(-1));
       }
     }));
   });
 
-  it("hold a change of one record as that record alone", () => {
+  it("contain only the changed records", () => {
     const history = DeltaHistory.create();
     const from = toContent(buildVersion(1));
     const to = toContent(buildVersion(2));
     history.add(from, to);
     const splices = history.listFrom(from.digest)!
-      .flatMap((step) => step.splices);
+      .flatMap((delta) => delta.splices);
     expect(splices.map(({ add }) => add.length)).toEqual([1, 1]);
   });
 
-  // Symptom: a VM refuses or throws at what another VM of a newer build sends.
-  // Sequence: steps in an unknown shape, or for other records. Cause: places
-  // taken for granted.
-  it("are refused where they do not fit", () => {
+  // A VM with a newer release may send deltas in an unknown format or for other
+  // records. Without a check of their shape, applying them throws.
+  it("are rejected if they do not apply", () => {
     const content = toContent([1, 2, 3]);
     const from = content.digest;
     const bad: unknown[] = [
@@ -79,12 +78,12 @@
       [{ from, to: "x", splices: [{ at: -1, remove: 0, add: [] }] }],
       [{ from, to: "x", splices: [{ at: 0, remove: 0, add: "ab" }] }],
     ];
-    for (const steps of bad) {
-      expect(applyDeltas(content, steps)).toBeUndefined();
+    for (const deltas of bad) {
+      expect(applyDeltas(content, deltas)).toBeUndefined();
     }
   });
 
-  it("reuse the records that did not change", () => {
+  it("reuse the objects of unchanged records", () => {
     fc.assert(fc.property(CONTENT, CONTENT, (known, records) => {
       expect(mergeRecords(known, records)).toEqual(records);
     }));
@@ -93,10 +92,9 @@
     expect(reused.every((record, index) => record === known[index])).toBe(true);
   });
 
-  // Symptom: two VMs have one version number and different records. Sequence:
-  // the steps of a VM lead to other records than their digest says. Cause: the
-  // result taken without a check.
-  it("are refused where they lead elsewhere than they say", () => {
+  // If the result of deltas is not checked against the digest that they state,
+  // two VMs can have different records under one version.
+  it("are rejected if their result does not have the stated digest", () => {
     const store = ConfigurationStore.create(VirtualClock.create());
     const records = buildVersion(1);
     store.apply({ version: 1, records, from: "service" });
@@ -110,9 +108,9 @@
   });
 });
 
-describe("steps between VMs", () => {
-  // Symptom: each VM receives and sends all records at each change, a megabyte
-  // at some thousand workspaces. Cause: peers handed on whole configurations.
+describe("deltas between VMs", () => {
+  // Without deltas, each VM receives and sends all records at each update: a
+  // megabyte with some thousand workspaces.
   it("cost little more than the changed record", async () => {
     const fleet = await startFleet({ count: 16 });
     fleet.service.putVersion(2, buildVersion(2));
@@ -131,7 +129,7 @@
     expect(each).toBeLessThan(whole / 20);
   });
 
-  it("bring up a VM that missed many, with the same records", async () => {
+  it("update a VM that missed many versions to the same records", async () => {
     const fleet = await startFleet({ count: 8 });
     fleet.service.putVersion(2, buildVersion(2));
     await fleet.runUntil(() => isEverywhere(fleet, 2), 10_000);
@@ -154,16 +152,15 @@
   });
 });
 
-describe("RecordMemory", () => {
-  // Symptom: a VM that was replaced holds every version for a conflict.
-  // Sequence: one VM digests from kept texts, another the whole list. Cause:
-  // two ways to one digest that differ.
-  it("gives the digest of the whole text", () => {
-    const memory = RecordMemory.create();
+describe("RecordCache", () => {
+  // VMs of two releases may compute the digest from cached texts or from the
+  // whole list. If the two differed, every version would look like a conflict.
+  it("returns the digest of the whole text", () => {
+    const cache = RecordCache.create();
     fc.assert(fc.property(fc.array(fc.jsonValue()), (values) => {
       const records = JSON.parse(JSON.stringify(values)) as unknown[];
-      expect(memory.computeDigest(records)).toBe(computeDigest(records));
-      expect(memory.computeDigest(records)).toBe(computeDigest(records));
+      expect(cache.computeDigest(records)).toBe(computeDigest(records));
+      expect(cache.computeDigest(records)).toBe(computeDigest(records));
     }));
   });
 });
--- a/test/process/configuration_directory_source_test.ts
+++ b/test/process/configuration_directory_source_test.ts
@@ -1,5 +1,5 @@
 /**
- * Reading a directory that stands in for the configuration service.
+ * Directory as a configuration source.
  *
  * @module
  */
@@ -19,7 +19,7 @@
   const write = async (path: string, value: unknown) => {
     const file = join(directory, path);
     await mkdir(join(file, ".."), { recursive: true });
-    // A file that is written in place may be read half written.
+    // Renamed into place, since a reader may see a partly written file.
     await writeFile(`${file}.new`, JSON.stringify(value));
     await rename(`${file}.new`, file);
   };
@@ -29,8 +29,8 @@
   return { source, clock, write };
 }
 
-describe("a directory as the source", () => {
-  it("reads the index, a group and the list", async () => {
+describe("DirectorySource", () => {
+  it("reads the index, a group and the membership list", async () => {
     const { source } = await createDirectory({
       "index.json": { version: 3, groups: { tiers: 2 } },
       "groups/tiers/2.json": { records: [{ kind: "tier" }] },
@@ -45,7 +45,7 @@
     expect(await source.fetchMembership(4, 0, NEVER)).toBeUndefined();
   });
 
-  it("finds a new index while it waits", async () => {
+  it("returns a new index while it waits", async () => {
     const { source, clock, write } = await createDirectory({
       "index.json": { version: 3, groups: {} },
     });
@@ -53,13 +53,13 @@
     await write("index.json", { version: 4, groups: {} });
     let version: number | undefined;
     void wait.then((index) => version = index?.version);
-    // Reading the file takes real time, however far the virtual clock is.
+    // Reading the file takes real time, which the virtual clock does not cover.
     while (version === undefined) await clock.run(1_000);
     expect(version).toBe(4);
     expect(clock.now()).toBeLessThan(LONG_MS);
   });
 
-  it("fails where a file is missing, half written or too large", async () => {
+  it("fails if a file is missing, truncated or too large", async () => {
     const { source, write } = await createDirectory({});
     await expect(source.fetchIndex(0, 0, NEVER)).rejects.toThrow();
     await write("groups/a/1.json", "half of an obj");
--- a/test/process/configuration_follower_fuzz_test.ts
+++ b/test/process/configuration_follower_fuzz_test.ts
@@ -1,7 +1,7 @@
 /**
- * Followers under any mixture of publications and faults, held against the
- * oracle that a VM's version is never lower than before, is one that was
- * validly published, and is the highest of these once the faults are over.
+ * Followers under random publications and faults. A VM's version must never
+ * decrease and must be one that was validly published. Once the faults end, all
+ * VMs must have the same version and accept a new one.
  *
  * @module
  */
@@ -15,17 +15,17 @@
 const VMS = 4;
 const RUNS = 60;
 const LAST_VERSION = 1_000;
-const CALM_MS = 30_000;
+const RECOVERY_MS = 30_000;
 
-/** The versions that may be in force, by what was published. */
+/** Versions that may be active, according to what was published. */
 interface Model {
   valid: Set<number>;
 }
 
-/** A fleet with the versions that each life of a VM had in force. */
+/** A fleet, and the versions that were active in each incarnation of a VM. */
 interface Real {
   fleet: VirtualFleet;
-  lives: number[][];
+  incarnations: number[][];
 }
 
 type Step = (model: Model, real: Real) => Promise<void> | void;
@@ -46,7 +46,7 @@
   async run(model: Model, real: Real): Promise<void> {
     await this.#step(model, real);
     await real.fleet.clock.run(200);
-    checkLives(model, real);
+    checkIncarnations(model, real);
   }
 
   toString(): string {
@@ -54,16 +54,16 @@
   }
 }
 
-function checkLives(model: Model, real: Real): void {
-  for (const versions of real.lives) {
+function checkIncarnations(model: Model, real: Real): void {
+  for (const versions of real.incarnations) {
     expect(versions).toEqual([...versions].sort((a, b) => a - b));
     for (const version of versions) expect(model.valid).toContain(version);
   }
 }
 
-function recordLife(real: Real, vm: FleetVm): void {
+function recordIncarnation(real: Real, vm: FleetVm): void {
   const versions: number[] = [];
-  real.lives.push(versions);
+  real.incarnations.push(versions);
   vm.follower.onSnapshot((snapshot) => versions.push(snapshot.version));
   startVm(vm);
 }
@@ -113,7 +113,7 @@
     const { fleet } = real;
     const { listed } = fleet.vms.get(toVmId(index))!;
     fleet.stopVm(listed.id);
-    recordLife(real, fleet.addVm(listed));
+    recordIncarnation(real, fleet.addVm(listed));
   })
 );
 
@@ -138,13 +138,13 @@
   { maxCommands: 25 },
 );
 
-it("versions only go up, and meet once the faults are over", async () => {
+it("versions never decrease and converge once the faults end", async () => {
   await fc.assert(
     fc.asyncProperty(allCommands, fc.nat(), async (commands, seed) => {
       const fleet = VirtualFleet.create({ count: VMS, dataCentres: 2, seed });
-      const real: Real = { fleet, lives: [] };
+      const real: Real = { fleet, incarnations: [] };
       const model: Model = { valid: new Set() };
-      for (const vm of fleet.list()) recordLife(real, vm);
+      for (const vm of fleet.list()) recordIncarnation(real, vm);
       await fc.asyncModelRun(() => ({ model, real }), commands);
       await endFaults(fleet);
       const states = fleet.list().map((vm) => {
@@ -155,7 +155,7 @@
       model.valid.add(LAST_VERSION);
       fleet.service.putVersion(LAST_VERSION, buildRecords(1));
       await fleet.runUntil(() => isEverywhere(fleet, LAST_VERSION), 5_000);
-      checkLives(model, real);
+      checkIncarnations(model, real);
       for (const vm of fleet.list()) fleet.stopVm(vm.listed.id);
     }),
     { numRuns: RUNS, seed: 21 },
@@ -168,5 +168,5 @@
   fleet.network.setDuplicateRate(0);
   fleet.service.isDown = false;
   for (let vm = 0; vm < VMS; vm += 1) fleet.network.resume(toVmId(vm));
-  await fleet.clock.run(CALM_MS);
+  await fleet.clock.run(RECOVERY_MS);
 }
--- a/test/process/configuration_propagation_test.ts
+++ b/test/process/configuration_propagation_test.ts
@@ -1,5 +1,5 @@
 /**
- * How versions reach every VM, and how often the service is asked.
+ * Propagation of versions to all VMs, and the load on the service.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 
 const MINUTE_MS = 60_000;
 
-describe("propagation", () => {
+describe("propagation of versions", () => {
   for (const count of [8, 32]) {
     it(`reaches ${count} VMs within a second`, async () => {
       const fleet = await startFleet({ count });
@@ -19,7 +19,7 @@
     });
   }
 
-  it("carries the membership list in the same manner", async () => {
+  it("reaches 32 VMs within a second with the membership list", async () => {
     const fleet = await startFleet({ count: 32 });
     const listed = fleet.list().map((vm) => vm.listed);
     fleet.service.putList(2, listed.slice(1));
@@ -32,7 +32,7 @@
     expect(view.listEntryVms()).toHaveLength(31);
   });
 
-  it("fetches only the groups that changed", async () => {
+  it("fetches only the changed groups", async () => {
     const fleet = await startFleet({ count: 1 });
     const before = fleet.service.groupCalls;
     fleet.service.putVersion(2, buildRecords(2));
@@ -41,7 +41,7 @@
     expect(fleet.service.groupCalls - before).toBe(1);
   });
 
-  it("tells which VM has which version, since when and from whom", async () => {
+  it("reports the version of each VM, its age and its origin", async () => {
     const fleet = await startFleet({ count: 16 });
     fleet.service.putVersion(2, buildRecords(2));
     await fleet.runUntil(() => isEverywhere(fleet, 2), 10_000);
@@ -66,8 +66,8 @@
   });
 });
 
-describe("calls to the service", () => {
-  it("do not grow with the fleet past the watchers", async () => {
+describe("calls to the configuration service", () => {
+  it("do not grow with the fleet beyond the watchers", async () => {
     const calls = new Map<number, number>();
     for (const count of [8, 16, 32, 64]) {
       const fleet = await startFleet({ count });
@@ -81,7 +81,7 @@
     expect(slope).toBeLessThan(0.5);
   });
 
-  it("go on from the next VM when a watcher stops answering", async () => {
+  it("continue from another VM when a watcher fails", async () => {
     const fleet = await startFleet({ count: 16, dataCentres: 1 });
     const listWatchers = () =>
       fleet.list().filter((vm) => vm.follower.listVersions().isWatcher);
--- a/test/process/configuration_service_source_test.ts
+++ b/test/process/configuration_service_source_test.ts
@@ -1,5 +1,5 @@
 /**
- * Reading the configuration service over HTTP on loopback.
+ * The configuration service as a source, over HTTP on loopback.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 
 type Answer = (path: string, response: http.ServerResponse) => void;
 
-/** A service on loopback; gives its address and the paths it was asked. */
+/** Starts a service on loopback; `paths` records the requested paths. */
 async function startService(
   answer: Answer,
 ): Promise<{ url: string; paths: string[] }> {
@@ -57,8 +57,8 @@
   return { source: ServiceSource.create({ urls, clock }), clock, services };
 }
 
-describe("the service as a source", () => {
-  it("asks with what it has and reads the index", async () => {
+describe("ServiceSource", () => {
+  it("sends its version and reads the index", async () => {
     const { source, services } = await createSource([sendIndex(8)]);
     const index = await source.fetchIndex(7, WAIT_MS, NEVER);
     expect(index).toEqual({ version: 8, groups: new Map([["a", 1]]) });
@@ -67,32 +67,32 @@
     ]);
   });
 
-  it("takes no older index than it asked for", async () => {
+  it("ignores an index that is older than requested", async () => {
     const { source } = await createSource([sendIndex(6)]);
     expect(await source.fetchIndex(7, WAIT_MS, NEVER)).toBeUndefined();
   });
 
-  it("has the newer version although another address is stale", async () => {
+  it("returns the newer version if another address is stale", async () => {
     const { source } = await createSource([sendNothingNew, sendIndex(8)]);
     const index = await source.fetchIndex(7, WAIT_MS, NEVER);
     expect(index?.version).toBe(8);
   });
 
-  it("has the newer version although another address is silent", async () => {
+  it("returns the newer version if another address is silent", async () => {
     const { source } = await createSource([sendSilence, sendIndex(8)]);
     const index = await source.fetchIndex(7, WAIT_MS, NEVER);
     expect(index?.version).toBe(8);
   });
 
-  it("gives up on a silent connection at its deadline", async () => {
-    // Symptom: a watch never ends, and the VM stays on an old version.
-    // Sequence: the service takes the request and the connection goes silent.
-    // Cause: TCP tells of no failure while nothing is to be sent.
-    let asked = () => {};
-    const isAsked = new Promise<void>((resolve) => asked = resolve);
-    const { source, clock } = await createSource([() => asked()]);
+  it("times out on a silent connection", async () => {
+    // If the connection goes silent after the request, TCP reports no failure
+    // while nothing is sent. Without a deadline the long poll never ends, and
+    // the VM stays on an old version.
+    let onRequest = () => {};
+    const requested = new Promise<void>((resolve) => onRequest = resolve);
+    const { source, clock } = await createSource([() => onRequest()]);
     const read = source.fetchIndex(7, WAIT_MS, NEVER).catch((error) => error);
-    await isAsked;
+    await requested;
     let isOver = false;
     void read.then(() => isOver = true);
     await clock.run(WAIT_MS + 1_900);
@@ -101,14 +101,14 @@
     expect((await read).message).toContain("The service failed");
   });
 
-  it("refuses a value over a megabyte", async () => {
+  it("rejects a value larger than 1 MiB", async () => {
     const { source } = await createSource([(_, response) => {
       response.end(Buffer.alloc(MAX_VALUE_BYTES + 1, 32));
     }]);
     await expect(source.fetchGroup("a", 1)).rejects.toThrow();
   });
 
-  it("refuses an answer that breaks off", async () => {
+  it("rejects a truncated response", async () => {
     const { source } = await createSource([(_, response) => {
       response.writeHead(200, { "content-length": "1000" });
       response.write('{"records": [');
@@ -117,7 +117,7 @@
     await expect(source.fetchGroup("a", 1)).rejects.toThrow();
   });
 
-  it("refuses what is not of the published shape", async () => {
+  it("rejects a malformed index", async () => {
     for (const body of ["[]", "{", '{"version": "8", "groups": {}}']) {
       const { source } = await createSource([(_, response) => {
         response.end(body);
@@ -126,7 +126,7 @@
     }
   });
 
-  it("reads groups where the index was, and elsewhere if need be", async () => {
+  it("reads groups from the address of the index, else from another", async () => {
     const sendGroup: Answer = (path, response) =>
       path.includes("groups")
         ? sendJson(response, { records: [{ kind: "tier" }] })
@@ -142,7 +142,7 @@
     expect(services[1]!.paths).toContain("/v1/values/groups/a/1");
   });
 
-  it("fails only when every address fails", async () => {
+  it("fails only if every address fails", async () => {
     const refuse: Answer = (_, response) => response.destroy();
     const one = await createSource([refuse, sendNothingNew]);
     expect(await one.source.fetchMembership(1, 0, NEVER)).toBeUndefined();
--- a/test/process/configuration_store_test.ts
+++ b/test/process/configuration_store_test.ts
@@ -1,5 +1,5 @@
 /**
- * The rules by which one configuration replaces another.
+ * Rules for replacing the active configuration.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 const RUNS = 300;
 const MAX_VERSION = 6;
 
-/** What the fuzzed store must be like: the highest accepted version so far. */
+/** Expected state of the store: the highest valid version so far. */
 interface Model {
   version: number;
   digest: string;
@@ -24,7 +24,7 @@
   announced: number[];
 }
 
-class OfferCommand implements fc.Command<Model, Real> {
+class CandidateCommand implements fc.Command<Model, Real> {
   readonly #version: number;
   readonly #variant: number;
   readonly #isBad: boolean;
@@ -61,7 +61,7 @@
 
   toString(): string {
     const kind = this.#isBad ? "bad" : "good";
-    return `offer ${this.#version} ${kind} ${this.#variant}`;
+    return `candidate ${this.#version} ${kind} ${this.#variant}`;
   }
 }
 
@@ -69,14 +69,14 @@
   return ConfigurationStore.create(VirtualClock.create());
 }
 
-describe("a store of configurations", () => {
-  it("is at the highest valid version offered, in any order", () => {
+describe("ConfigurationStore", () => {
+  it("has the highest valid version, in any order of candidates", () => {
     const command = fc.tuple(
       fc.integer({ min: -1, max: MAX_VERSION }),
       fc.integer({ min: 1, max: 3 }),
       fc.boolean(),
     ).map(([version, variant, isBad]) =>
-      new OfferCommand(version, variant, isBad)
+      new CandidateCommand(version, variant, isBad)
     );
     fc.assert(
       fc.property(fc.commands([command], { maxCommands: 30 }), (commands) => {
@@ -90,18 +90,18 @@
     );
   });
 
-  it("decides alike whatever the order of the offers", () => {
-    const offer = fc.record({
+  it("decides independently of the order of candidates", () => {
+    const candidate = fc.record({
       version: fc.integer({ min: 1, max: 3 }),
       variant: fc.integer({ min: 1, max: 3 }),
       isBad: fc.boolean(),
     });
-    const offers = fc.array(offer, { minLength: 1, maxLength: 8 });
+    const candidates = fc.array(candidate, { minLength: 1, maxLength: 8 });
     fc.assert(
-      fc.property(offers, fc.integer(), (given, turn) => {
-        const shift = Math.abs(turn) % given.length;
-        const turned = [...given.slice(shift), ...given.slice(0, shift)];
-        const digests = [given, turned, [...given].reverse()].map((order) => {
+      fc.property(candidates, fc.integer(), (given, rotation) => {
+        const shift = Math.abs(rotation) % given.length;
+        const rotated = [...given.slice(shift), ...given.slice(0, shift)];
+        const digests = [given, rotated, [...given].reverse()].map((order) => {
           const store = createStore();
           for (const { version, variant, isBad } of order) {
             const records = isBad
@@ -117,7 +117,7 @@
     );
   });
 
-  it("refuses versions that are no versions", () => {
+  it("rejects invalid version numbers", () => {
     const store = createStore();
     for (const version of [NaN, Infinity, 1.5, -1, 0, 2 ** 53]) {
       const records = buildRecords(1);
@@ -127,10 +127,9 @@
     expect(store.getSnapshot()).toBeUndefined();
   });
 
-  // Symptom: an operator asks from whom a version came, and is told nothing.
-  // Sequence: a good version is accepted; dozens of bad ones follow.
-  // Cause: the answer is looked up in the bounded history of decisions.
-  it("knows whence its version came after many refusals", async () => {
+  // If the origin were looked up in the bounded history of decisions, dozens of
+  // invalid versions after the active one would remove it.
+  it("reports the origin of its version after many rejections", async () => {
     const clock = VirtualClock.create();
     const store = ConfigurationStore.create(clock);
     expect(store.getOrigin()).toBeUndefined();
@@ -140,12 +139,14 @@
     }
     await clock.run(5_000);
     expect(store.getVersion()).toBe(1);
-    const isKept = store.listHistory().some((one) => one.result === "accepted");
+    const isKept = store.listHistory().some((entry) =>
+      entry.result === "accepted"
+    );
     expect(isKept).toBe(false);
     expect(store.getOrigin()).toEqual({ from: "vm-2", ageMs: 5_000 });
   });
 
-  it("keeps its history bounded and validates a bad version once", () => {
+  it("bounds its history and validates an invalid version once", () => {
     const store = createStore();
     for (let version = 1; version <= 100; version += 1) {
       store.apply({ version, records: buildRecords(version), from: "vm-1" });
--- a/test/process/daemon_test.ts
+++ b/test/process/daemon_test.ts
@@ -10,13 +10,13 @@
 
 const TOKEN = "operators-token";
 const FIXTURES = "test/connection/fixtures";
-const READY_TRIES = 300;
+const READY_ATTEMPTS = 300;
 const READY_POLL_MS = 20;
 
 interface Answer {
   status: number;
   body: string;
-  /** Fingerprint of the certificate that the listener showed. */
+  /** Fingerprint of the listener's certificate. */
   certificate: string;
 }
 
@@ -24,7 +24,7 @@
 let operatorsPort: number;
 let daemon: Daemon;
 
-/** Asks the operators' listener on a connection of its own. */
+/** Fetches from the operators' listener on a new connection. */
 function fetchText(path: string): Promise<Answer> {
   return new Promise((resolve, reject) => {
     const call = request({
@@ -55,11 +55,11 @@
 }
 
 async function waitUntilReady(): Promise<void> {
-  for (let count = 0; count < READY_TRIES; count++) {
+  for (let count = 0; count < READY_ATTEMPTS; count++) {
     if ((await fetchText("/readyz")).status === 200) return;
     await new Promise((resolve) => setTimeout(resolve, READY_POLL_MS));
   }
-  throw new Error("The daemon is not ready");
+  throw new Error("The daemon did not become ready");
 }
 
 function putCertificate(name: "tls_a" | "tls_b"): void {
@@ -103,8 +103,8 @@
 
 afterEach(() => daemon.stop());
 
-describe("TLS files that are read again", () => {
-  test("are shown to those who connect from then on", async () => {
+describe("reloaded TLS files", () => {
+  test("are used for new connections", async () => {
     const before = await fetchText("/healthz");
     putCertificate("tls_b");
     daemon.updateTls();
@@ -113,11 +113,10 @@
     expect(after.certificate).not.toBe(before.certificate);
   });
 
-  // Symptom: a VM ends with every request in flight when its certificates are
-  // renewed. Sequence: the renewal writes the certificate, SIGHUP comes before
-  // the key is there. Cause: the error of the reading went up to the signal's
-  // handler, where an unhandled error ends the process.
-  test("change nothing where one cannot be used", async () => {
+  // During a renewal, SIGHUP can arrive after the certificate is written but
+  // before the key. An exception in the signal handler would end the process
+  // and every request in flight.
+  test("leave the listener as it is if one is invalid", async () => {
     const before = await fetchText("/healthz");
     writeFileSync(join(directory, "key.pem"), "half a k");
     expect(() => daemon.updateTls()).not.toThrow();
@@ -126,7 +125,7 @@
   });
 });
 
-test("operators are told of one form, with the source's own name", async () => {
+test("the operator API names the configuration source", async () => {
   await waitUntilReady();
   const versions = await fetchJson("/v1/versions");
   expect(versions.vms).toMatchObject([{ version: 1, from: "directory" }]);
@@ -145,7 +144,7 @@
   expect(body).toMatch(/^persimmonslip_view_age_seconds \d/m);
 });
 
-test("a fate asked for at the operators' listener is a caller's page", async () => {
+test("the operators' listener serves the same status page as callers get", async () => {
   await waitUntilReady();
   const id = daemon.runtime.issueId();
   const path = `/v1/requests/${encodeURIComponent(id)}`;
--- a/test/process/entries_test.ts
+++ b/test/process/entries_test.ts
@@ -1,5 +1,5 @@
 /**
- * Which entry VMs callers are sent to.
+ * Selection of the entry VMs that callers connect to.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 const CALLERS = 8_000;
 
-/** How often each VM stands first, over many callers. */
+/** Counts how often each VM is first, over many callers. */
 function countFirst(
   fleet: VirtualFleet,
   options: { at: number; dataCentre?: string },
@@ -32,8 +32,8 @@
   return counts;
 }
 
-describe("entries", () => {
-  it("spread callers evenly over 8 VMs", async () => {
+describe("chooseEntries", () => {
+  it("spreads callers evenly over 8 VMs", async () => {
     const fleet = await startFleet({ count: 8 });
     const counts = [...countFirst(fleet, { at: 0 }).values()];
     expect(counts).toHaveLength(8);
@@ -42,7 +42,7 @@
     }
   });
 
-  it("prefer the caller's data centre, and still name others", async () => {
+  it("prefers the caller's data centre and includes others", async () => {
     const fleet = await startFleet({ count: 8 });
     const counts = countFirst(fleet, { at: 0, dataCentre: "dc-1" });
     const local = (counts.get("vm-1") ?? 0) + (counts.get("vm-5") ?? 0);
@@ -56,7 +56,7 @@
       .toBeGreaterThan(1);
   });
 
-  it("leave out VMs that drain or are dead, within seconds", async () => {
+  it("leaves out VMs that are draining or dead within seconds", async () => {
     const fleet = await startFleet({ count: 8 });
     getVm(fleet, 2).prober.startDraining();
     fleet.stopVm(toVmId(3));
@@ -67,7 +67,7 @@
     expect(counts.size).toBe(6);
   });
 
-  it("name others as well where the answering VM sees few", async () => {
+  it("includes unreachable VMs if the answering VM reaches few", async () => {
     const fleet = await startFleet({ count: 8 });
     const others = fleet.list().map((vm) => vm.listed.id).slice(1);
     fleet.network.cutBetween([toVmId(0)], others);
@@ -79,7 +79,7 @@
     expect(entries).toHaveLength(4);
   });
 
-  it("are never empty while any entry VM is listed", async () => {
+  it("returns entries while any entry VM is listed", async () => {
     const fleet = await startFleet({ count: 2 });
     for (const vm of fleet.list()) vm.prober.startDraining();
     await fleet.clock.run(3_000);
--- a/test/process/rate_limited_log_test.ts
+++ b/test/process/rate_limited_log_test.ts
@@ -17,11 +17,10 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-describe("a bounded log", () => {
-  // Symptom: a VM slows down under a burst, most of all while it refuses.
-  // Sequence: thousands of requests a second, each with several lines.
-  // Cause: lines cost processor time without a bound.
-  it("leaves routine lines out first, and says how many", async () => {
+describe("RateLimitedLog", () => {
+  // Without a limit, thousands of requests per second with several lines each
+  // take so much CPU time that the VM slows down, above all if it refuses many.
+  it("drops routine lines first and logs their number", async () => {
     const clock = VirtualClock.create();
     const written = new RecordingLog();
     const log = RateLimitedLog.create(written, clock);
@@ -35,15 +34,14 @@
     await clock.run(1_000);
     log.info("step");
     expect(written.events).toContain("log_lines_left_out");
-    expect(log.leftOut).toBe(600);
+    expect(log.droppedCount).toBe(600);
   });
 });
 
-describe("a line writer", () => {
-  // Symptom: the process stalls or its memory grows without end.
-  // Sequence: whoever reads the log stops reading.
-  // Cause: lines were written, or kept, without a bound.
-  it("keeps a bounded number of lines while nobody reads", async () => {
+describe("LineWriter", () => {
+  // If the reader of the log stops reading, a process that writes or buffers
+  // lines without a limit blocks or runs out of memory.
+  it("buffers a bounded number of lines while the stream is blocked", async () => {
     const taken: string[] = [];
     let go: (() => void) | undefined;
     const stream = new Writable({
@@ -67,7 +65,7 @@
     expect(taken.join("")).toContain("log_lines_lost");
   });
 
-  it("writes lines that come together at once", async () => {
+  it("writes lines in one batch", async () => {
     const taken: string[] = [];
     const stream = new Writable({
       write(chunk, _encoding, done) {
--- a/test/process/request_metrics_test.ts
+++ b/test/process/request_metrics_test.ts
@@ -49,7 +49,7 @@
 }
 
 describe("BurnRecorder", () => {
-  test("counts each window as a plain list of the requests does", async () => {
+  test("counts each window as a list of all requests does", async () => {
     const arrival = fc.record({
       gapMs: fc.constantFrom(0, 400, 9_999, 10_000, 60_000, 3_600_000),
       result: fc.constantFrom(...RESULTS),
@@ -88,7 +88,7 @@
     );
   });
 
-  test("forgets what is older than three days", async () => {
+  test("drops counts older than three days", async () => {
     const clock = VirtualClock.create();
     const recorder = BurnRecorder.create(clock);
     recorder.record(buildFinished({ result: "lost" }));
@@ -100,7 +100,7 @@
     expect(series.reachMs).toBeLessThanOrEqual(3 * DAY_MS);
   });
 
-  test("says why the budget burns, with the newest examples", async () => {
+  test("lists causes by recent frequency, with the newest examples", async () => {
     const clock = VirtualClock.create();
     const recorder = BurnRecorder.create(clock);
     for (let index = 0; index < 5; index++) {
@@ -133,7 +133,7 @@
     });
   });
 
-  test("puts causes past the bound under one name", () => {
+  test("combines causes beyond the limit under one name", () => {
     const recorder = BurnRecorder.create(VirtualClock.create());
     for (let index = 0; index < 100; index++) {
       recorder.record(
@@ -145,10 +145,10 @@
     expect(causes.reduce((sum, cause) => sum + cause.total, 0)).toBe(100);
   });
 
-  // Symptom: a VM that has served many workspaces for days is killed for its
-  // memory. Sequence: each class of each workspace adds a count to every slot
-  // of time in which it is used. Cause: no bound on the counts held.
-  test("gives up its oldest buckets when it holds too many", async () => {
+  // Each class of each workspace adds a count to every time slot in which it is
+  // used. Without a limit, a VM that serves many workspaces for days runs out
+  // of memory.
+  test("drops its oldest buckets when it stores too many counts", async () => {
     const clock = VirtualClock.create();
     const recorder = BurnRecorder.create(clock);
     const workspaces = 900;
@@ -160,32 +160,32 @@
       }
     }
     const series = recorder.collect();
-    const held = series.entries.reduce(
+    const storedCount = series.entries.reduce(
       (sum, { fine, coarse }) => sum + fine.ago.length + coarse.ago.length,
       0,
     );
-    expect(held).toBeLessThanOrEqual(100_000);
-    expect(held).toBeGreaterThan(90_000);
+    expect(storedCount).toBeLessThanOrEqual(100_000);
+    expect(storedCount).toBeGreaterThan(90_000);
     expect(series.reachMs).toBeLessThan(series.gatheredMs);
     expect(countWindow(findEntry(series, "w-0"), HOUR_MS).met).toBe(12);
   });
 });
 
 describe("mergeSeries", () => {
-  test("gives for two VMs what one VM gives that served all", async () => {
+  test("merges two VMs to the statistics of one that served all requests", async () => {
     const clock = VirtualClock.create();
     const parts = [BurnRecorder.create(clock), BurnRecorder.create(clock)];
     const whole = BurnRecorder.create(clock);
     for (let index = 0; index < 200; index++) {
       await clock.run(7_000);
-      const figures = buildFinished({
+      const request = buildFinished({
         workspace: toId(index % 3 === 0 ? "clinic" : "office"),
         result: RESULTS[index % RESULTS.length]!,
         step: `step-${index % 4}`,
         firstTokenMs: index * 3,
       });
-      parts[index % 2]!.record(figures);
-      whole.record(figures);
+      parts[index % 2]!.record(request);
+      whole.record(request);
     }
     const merged = mergeSeries(parts.map((part) => part.collect()));
     const single = mergeSeries([whole.collect()]);
@@ -203,20 +203,20 @@
     expect(merged.entries).toHaveLength(2);
   });
 
-  test("of nothing is empty", () => {
+  test("returns empty statistics for no VMs", () => {
     expect(mergeSeries([])).toEqual(createSeries());
   });
 });
 
 describe("parseSeries", () => {
-  test("takes what a recorder gives, through JSON", () => {
+  test("parses a recorder's statistics after a JSON round trip", () => {
     const recorder = BurnRecorder.create(VirtualClock.create());
     recorder.record(buildFinished());
     const series = recorder.collect();
     expect(parseSeries(JSON.parse(JSON.stringify(series)))).toEqual(series);
   });
 
-  test("refuses anything else", () => {
+  test("rejects any other format", () => {
     const recorder = BurnRecorder.create(VirtualClock.create());
     recorder.record(buildFinished());
     const series = recorder.collect();
@@ -261,14 +261,14 @@
     expect(Number(quantile?.split(" ")[1])).toBeCloseTo(0.25, 2);
   });
 
-  test("does not count twice when it is read twice", async () => {
+  test("renders the same counts on each read", async () => {
     const metrics = ProcessMetrics.create(VirtualClock.create());
     metrics.noteFinished(buildFinished());
     const first = await metrics.renderPrometheus();
     expect(await metrics.renderPrometheus()).toBe(first);
   });
 
-  test("lets quantiles forget what is long over", async () => {
+  test("computes quantiles over recent durations only", async () => {
     const clock = VirtualClock.create();
     const metrics = ProcessMetrics.create(clock);
     metrics.noteStep(toId("chat"), "queued", 9_000);
@@ -283,7 +283,7 @@
   });
 });
 
-test("a histogram keeps durations within one per cent", () => {
+test("a histogram stores durations with an error of one per cent", () => {
   fc.assert(
     fc.property(fc.double({ min: 0.1, max: 1e7, noNaN: true }), (ms) => {
       const histogram = LatencyHistogram.create();
--- a/test/process/roarr_log_test.ts
+++ b/test/process/roarr_log_test.ts
@@ -34,7 +34,7 @@
       );
   });
 
-  test("drops events below its level", () => {
+  test("discards events below its level", () => {
     const { log, lines } = createLog("warn");
     log.debug("a");
     log.info("b");
@@ -44,18 +44,18 @@
       .toEqual(["c", "d"]);
   });
 
-  test("quotes what would break a line or a pair", () => {
+  test("quotes characters that would break a line or a pair", () => {
     const line = writeOne({ why: 'no "room"\nlevel=error', empty: "" });
     expect(line).toContain('why="no \\"room\\"\\nlevel=error" empty=""\n');
   });
 
-  test("keeps its own three keys apart from fields of that name", () => {
+  test("renames fields that have a reserved key", () => {
     const line = writeOne({ level: "error", "a b": "x" });
     expect(line).toContain("level=info ");
     expect(line).toContain("field_level=error a_b=x");
   });
 
-  test("prints a percent sign as it is", () => {
+  test("writes a percent sign unchanged", () => {
     expect(writeOne({ share: "50%s" }, "at_%d")).toContain(
       "event=at_%d share=50%s\n",
     );
@@ -69,28 +69,28 @@
     "peer.secret",
     "Authorization",
     "keyHash",
-  ])("does not write the text of a field named %s", (name) => {
+  ])("redacts the text of a field named %s", (name) => {
     const line = writeOne({ [name]: "hunter2" });
     expect(line).not.toContain("hunter2");
     expect(line).toContain("[redacted]");
   });
 
-  test("does not write a credential inside of another text", () => {
+  test("redacts a credential inside a text", () => {
     const line = writeOne({ headers: "authorization: Bearer hunter2; a: b" });
     expect(line).not.toContain("hunter2");
   });
 
-  test("writes counts of tokens", () => {
+  test("writes token counts", () => {
     expect(writeOne({ tokens: 12, first_token_ms: 3 })).toContain(
       "tokens=12 first_token_ms=3",
     );
   });
 
-  test("bounds a long value", () => {
+  test("truncates a long value", () => {
     expect(writeOne({ text: "x".repeat(100_000) }).length).toBeLessThan(3_000);
   });
 
-  test("writes one line whatever the fields hold, and it reads back", () => {
+  test("writes one line for any field value, which parses back", () => {
     const text = fc.string({ unit: "binary", maxLength: 40 });
     fc.assert(
       fc.property(text, text, (value, event) => {
@@ -109,7 +109,7 @@
   });
 });
 
-test("a line of another form does not read as an event", () => {
+test("a line in another format is not parsed as an event", () => {
   expect(parseLogLine("Listening on port 80")).toBeUndefined();
   expect(parseLogLine("a=b")).toBeUndefined();
   expect(parseLogLine("")).toBeUndefined();
--- a/test/process/settings_page.ts
+++ b/test/process/settings_page.ts
@@ -1,12 +1,12 @@
 /**
- * The rows of docs/SETTINGS.md, worked out from the schema.
+ * Rows of docs/SETTINGS.md, computed from the schema.
  *
  * @module
  */
 import { z } from "zod";
 import { SETTINGS_SCHEMA } from "../../src/process/settings_schema.ts";
 
-/** The parts of a JSON schema that the rows are made of. */
+/** Parts of a JSON schema that the rows show. */
 interface Node {
   type?: string;
   description?: string;
@@ -19,7 +19,7 @@
   const?: string;
 }
 
-/** The rows `path | default | meaning`, in the schema's order. */
+/** Lists the rows `path | default | meaning`, in the schema's order. */
 export function listSettingRows(): string[] {
   const root = z.toJSONSchema(SETTINGS_SCHEMA, { io: "input" }) as Node;
   return listRows(root, "");
