--- a/test/process/settings_test.ts
+++ b/test/process/settings_test.ts
@@ -3,7 +3,7 @@
 import { join } from "node:path";
 import fc from "fast-check";
 import { describe, expect, test } from "vitest";
-import { findJsonFault } from "../../src/process/json_scanner.ts";
+import { findJsonError } from "../../src/process/json_scanner.ts";
 import {
   parseSettings,
   readSettings,
@@ -13,7 +13,7 @@
 
 const SECRETS = { PEER_SECRET: "from-env" };
 
-function buildWritten(): Record<string, unknown> {
+function buildInput(): Record<string, unknown> {
   return {
     vm: "entry-1",
     data_centre: "dc-1",
@@ -31,8 +31,8 @@
   };
 }
 
-function findError(written: unknown): SettingsError {
-  const text = typeof written === "string" ? written : JSON.stringify(written);
+function findError(input: unknown): SettingsError {
+  const text = typeof input === "string" ? input : JSON.stringify(input);
   try {
     parseSettings(text, "s.json", { secrets: SECRETS });
   } catch (thrown) {
@@ -42,20 +42,20 @@
   throw new Error("No error was thrown");
 }
 
-/** A copy of the good settings with one value set by its path. */
+/** Builds valid settings with one value replaced. */
 function buildWith(path: string[], value: unknown): unknown {
-  const written = buildWritten();
-  let node = written;
+  const input = buildInput();
+  let node = input;
   for (const key of path.slice(0, -1)) {
     node = node[key] as Record<string, unknown>;
   }
   node[path.at(-1)!] = value;
-  return written;
+  return input;
 }
 
 describe("parseSettings", () => {
-  test("gives camelCase settings with defaults and secrets", () => {
-    const text = JSON.stringify(buildWritten());
+  test("returns camelCase settings with defaults and secrets", () => {
+    const text = JSON.stringify(buildInput());
     expect(parseSettings(text, "s.json", { secrets: SECRETS })).toEqual({
       vm: "entry-1",
       dataCentre: "dc-1",
@@ -85,22 +85,22 @@
   });
 
   test.each([
-    [["vm"], "", "$.vm", "a text that is not empty"],
+    [["vm"], "", "$.vm", "a non-empty string"],
     [["address"], "localhost", "$.address", "an IP address"],
     [["listeners", "callers", "port"], 70_000, "$.listeners.callers.port", ""],
     [
       ["listeners", "callers", "prot"],
       1,
       "$.listeners.callers.prot",
-      "no such",
+      "Unknown setting",
     ],
     [
       ["listeners", "callers", "tls", "ca_file"],
       "ca.pem",
       "$.listeners.callers.tls.ca_file",
-      "no such",
+      "Unknown setting",
     ],
-    [["colour"], "red", "$.colour", "There is no such setting"],
+    [["colour"], "red", "$.colour", "Unknown setting"],
     [["source"], { kind: "disk" }, "$.source.kind", '"service" or "directory"'],
     [
       ["source"],
@@ -111,30 +111,30 @@
     [["limits", "max_connections"], 0, "$.limits.max_connections", "1 or more"],
     [["log_level"], "loud", "$.log_level", "debug, info, warn, error"],
     [["seeds"], [{ vm: "a" }], "$.seeds[0].address", "it is missing"],
-  ])("names the path of %j set to %j", (path, value, jsonPath, expected) => {
+  ])("reports the path of %j set to %j", (path, value, jsonPath, expected) => {
     const error = findError(buildWith(path, value));
     expect(error.jsonPath).toBe(jsonPath);
     expect(error.message).toContain(`s.json: ${jsonPath}: `);
     expect(error.message).toContain(expected);
   });
 
-  test("takes the authority of the VMs' certificates", () => {
+  test("accepts a CA file for the peers' listener", () => {
     const tls = { cert_file: "c.pem", key_file: "k.pem", ca_file: "ca.pem" };
-    const written = buildWith(["listeners", "peers", "tls"], tls);
-    const settings = parseSettings(JSON.stringify(written), "s.json", {
+    const input = buildWith(["listeners", "peers", "tls"], tls);
+    const settings = parseSettings(JSON.stringify(input), "s.json", {
       secrets: SECRETS,
     });
     expect(settings.listeners.peers.tls?.caFile).toBe("ca.pem");
   });
 
-  test("lists every fault, not only the first", () => {
+  test("lists all errors, not only the first", () => {
     const error = findError({});
     for (const path of ["vm", "data_centre", "address", "listeners"]) {
       expect(error.message).toContain(`$.${path}: Expected`);
     }
   });
 
-  test("says which environment variable a secret lacks", () => {
+  test("names the environment variable that a secret lacks", () => {
     const error = findError(
       buildWith(["listeners", "operators", "token"], { env: "NOT_SET" }),
     );
@@ -142,7 +142,7 @@
     expect(error.message).toContain("NOT_SET");
   });
 
-  test("does not print a secret that it refuses", () => {
+  test("does not print an invalid secret", () => {
     const secret = { env: "X", value: "hunter2" };
     const error = findError(
       buildWith(["listeners", "peers", "secret"], secret),
@@ -152,11 +152,11 @@
 
   test.each([
     ['{\n  "vm": "a",\n  vm: 1}', "line 3, column 3", "key in double quotes"],
-    ['{"vm": "a", "vm": "b"}', "line 1, column 13", "given twice"],
+    ['{"vm": "a", "vm": "b"}', "line 1, column 13", "duplicate key"],
     ['{"vm": "a"', "line 1, column 11", "the file ends here"],
     ["{} {}", "line 1, column 4", "end of the file"],
     ["[".repeat(100_000), "line 1, column 66", "nested deeper"],
-  ])("gives line and column of a syntax fault", (text, place, message) => {
+  ])("reports line and column of a syntax error", (text, place, message) => {
     const error = findError(text);
     expect(error.message).toContain(place);
     expect(error.message).toContain(message);
@@ -164,15 +164,15 @@
 });
 
 describe("readSettings", () => {
-  test("reads a file, and names a file that is not there", () => {
+  test("reads a file, and names the file if it is missing", () => {
     const path = join(mkdtempSync(join(tmpdir(), "settings-")), "s.json");
     expect(() => readSettings(path, SECRETS)).toThrow(path);
-    writeFileSync(path, JSON.stringify(buildWritten()));
+    writeFileSync(path, JSON.stringify(buildInput()));
     expect(readSettings(path, SECRETS).vm).toBe("entry-1");
   });
 });
 
-test("the scanner finds a fault exactly where JSON.parse throws", () => {
+test("the scanner finds an error exactly if JSON.parse throws", () => {
   const damage = fc.record({
     value: fc.json({ maxDepth: 4 }),
     at: fc.nat(200),
@@ -181,9 +181,9 @@
   fc.assert(
     fc.property(damage, ({ value, at, put }) => {
       const text = value.slice(0, at) + put + value.slice(at + 1);
-      const fault = findJsonFault(text);
-      if (fault?.message.includes("given twice")) return;
-      expect(fault === undefined).toBe(isParsable(text));
+      const error = findJsonError(text);
+      if (error?.message.includes("duplicate key")) return;
+      expect(error === undefined).toBe(isParsable(text));
     }),
     { seed: 7, numRuns: 3_000 },
   );
@@ -201,13 +201,13 @@
 describe("docs/SETTINGS.md", () => {
   const page = readFileSync("docs/SETTINGS.md", "utf8");
 
-  test("has a row for each setting of the schema, and no other", () => {
+  test("has exactly one row for each setting of the schema", () => {
     const rows = page.split("\n").filter((line) => line.startsWith("| `"));
     const trimmed = rows.map((row) => row.replace(/ +\|/g, " |"));
     expect(trimmed).toEqual(listSettingRows());
   });
 
-  test("shows an example that is valid", () => {
+  test("has a valid example", () => {
     const example = page.split("```json")[1]!.split("```")[0]!;
     const secrets = {
       PERSIMMONSLIP_PEER_SECRET: "a",
--- a/test/tool/offline_test.ts
+++ b/test/tool/offline_test.ts
@@ -53,7 +53,9 @@
     const report = JSON.parse(run.output);
     expect(report.ok).toBe(false);
     expect(report.checked[0].lines.join("\n")).toContain("$.vm: Expected");
-    expect(report.checked[0].lines.join("\n")).toContain("$.colour: There is");
+    expect(report.checked[0].lines.join("\n")).toContain(
+      "$.colour: Unknown setting",
+    );
     expect(run.exitCode).toBe(1);
   });
 
