--- a/src/tool/arguments.ts
+++ b/src/tool/arguments.ts
@@ -10,63 +10,65 @@
 import { EXIT_UNREADABLE, EXIT_USAGE, ToolError } from "./tool_error.ts";
 import { VmClient } from "./vm_client.ts";
 
-/** How the operators' listener of a VM is reached. */
+/** Options for connecting to the operators' listener of a VM. */
 export interface OperatorArguments {
   url?: string | undefined;
   token?: string | undefined;
   ca?: string | undefined;
 }
 
-/** How the callers' listener of a VM is reached. */
+/** Options for connecting to the callers' listener of a VM. */
 export interface CallerArguments {
   "callers-url"?: string | undefined;
   ca?: string | undefined;
 }
 
-/** A client of the operators' listener. Throws a `ToolError`. */
+/** Creates a client of the operators' listener. Throws a `ToolError`. */
 export function createOperatorClient(
   context: ToolContext,
-  given: OperatorArguments,
+  args: OperatorArguments,
 ): VmClient {
-  const token = given.token ?? context.variables.PERSIMMONSLIP_TOKEN;
+  const token = args.token ?? context.variables.PERSIMMONSLIP_TOKEN;
   if (token === undefined || token === "") {
-    throw new ToolError("No operator token is given", {
+    throw new ToolError("Operator token is missing", {
       exitCode: EXIT_USAGE,
       step: "read_arguments",
-      hint: "Set PERSIMMONSLIP_TOKEN, or give --token TOKEN",
+      hint: "Set PERSIMMONSLIP_TOKEN or use --token TOKEN",
     });
   }
-  const url = given.url ?? context.variables.PERSIMMONSLIP_URL;
+  const url = args.url ?? context.variables.PERSIMMONSLIP_URL;
   return VmClient.create({
     url: parseUrl(url, "url"),
     token,
-    ca: readAuthority(given.ca),
+    ca: readCaCertificate(args.ca),
   });
 }
 
-/** A client of the callers' listener. Throws a `ToolError`. */
+/** Creates a client of the callers' listener. Throws a `ToolError`. */
 export function createCallerClient(
   context: ToolContext,
-  given: CallerArguments,
+  args: CallerArguments,
 ): VmClient {
   return VmClient.create({
-    url: findCallersUrl(context, given),
-    ca: readAuthority(given.ca),
+    url: findCallersUrl(context, args),
+    ca: readCaCertificate(args.ca),
   });
 }
 
-/** The address of the callers' listener. Throws a `ToolError`. */
+/** Returns the URL of the callers' listener. Throws a `ToolError`. */
 export function findCallersUrl(
   context: ToolContext,
-  given: CallerArguments,
+  args: CallerArguments,
 ): URL {
   const { variables } = context;
-  const url = given["callers-url"] ?? variables.PERSIMMONSLIP_CALLERS_URL;
+  const url = args["callers-url"] ?? variables.PERSIMMONSLIP_CALLERS_URL;
   return parseUrl(url, "callers-url");
 }
 
-/** The PEM text of an authority's certificate. Throws a `ToolError`. */
-export function readAuthority(file: string | undefined): string | undefined {
+/** Reads the PEM text of a CA certificate. Throws a `ToolError`. */
+export function readCaCertificate(
+  file: string | undefined,
+): string | undefined {
   if (file === undefined) return undefined;
   try {
     return readFileSync(file, "utf8");
--- a/src/tool/burn/burn_causes.ts
+++ b/src/tool/burn/burn_causes.ts
@@ -1,5 +1,5 @@
 /**
- * Why budgets burn: causes ranked, and summed by one of their properties.
+ * Causes of budget burn, ranked and aggregated by property.
  *
  * @module
  */
@@ -7,14 +7,14 @@
 import { compareStrings } from "../../version/record_problem.ts";
 import type { ClassObjective } from "./burn_sources.ts";
 
-/** A cause with the row that it burns. */
+/** A cause with the class, workspace and tier whose budget it burns. */
 export interface RankedCause extends BurnCause {
   className: string;
   workspace: string;
   tier: string;
 }
 
-/** How much of what is bad falls to one value of a dimension. */
+/** Number of bad requests for one value of a dimension. */
 export interface CauseShare {
   value: string;
   lastHour: number;
@@ -22,7 +22,7 @@
   byResult: Record<BurnCause["result"], { lastHour: number; total: number }>;
 }
 
-/** Ways to sort what is bad. */
+/** Properties that bad requests are aggregated by. */
 export const CAUSE_DIMENSIONS = [
   "result",
   "tier",
@@ -30,11 +30,13 @@
   "pool",
   "upstream",
 ] as const;
-/** A way to sort what is bad. */
+/** Property that bad requests are aggregated by. */
 export type CauseDimension = typeof CAUSE_DIMENSIONS[number];
 
-/** All causes, the worst first: by all that is held where reports of many
- * moments were folded, else by the last hour. */
+/**
+ * Lists all causes, the worst first: by the last hour, or by the total if
+ * reports or logs were merged.
+ */
 export function listCauses(
   entries: readonly BurnEntry[],
   options: { objectives: readonly ClassObjective[]; isFolded: boolean },
@@ -68,7 +70,7 @@
   return compareStrings(toKey(left), toKey(right));
 }
 
-/** Sums the causes by one property, the worst first. */
+/** Aggregates the causes by one property, the worst first. */
 export function computeCauseShares(
   causes: readonly RankedCause[],
   dimension: CauseDimension,
--- a/src/tool/burn/burn_files.ts
+++ b/src/tool/burn/burn_files.ts
@@ -1,6 +1,6 @@
 /**
- * Burn reports as they are saved by `--json` and read back by `--fold`, and the
- * log files that go with them.
+ * Reads burn reports saved with `--json` and log files for `--fold`, and
+ * converts reports to the saved form.
  *
  * @module
  */
@@ -23,9 +23,9 @@
 
 const KIND = "persimmonslip_burn";
 const FORM = 1;
-/** A saved report is one JSON object; a log line starts with its time. */
+/** Start of a saved report, a JSON object; log lines start with their time. */
 const REPORT_START = "{";
-const PEEKED_BYTES = 64;
+const MAX_PEEKED_BYTES = 64;
 
 const SAVED_REPORT = z.looseObject({
   kind: z.literal(KIND),
@@ -52,13 +52,13 @@
 
 type SavedReport = z.infer<typeof SAVED_REPORT>;
 
-/** What files hold for a fold. */
+/** Contents of the files given to `--fold`. */
 export interface FoldInput {
   samples: BurnSample[];
   logged: LogRequest[];
 }
 
-/** The sample in a VM's answer. Throws a `ToolError`. */
+/** Converts a VM's answer to a sample. Throws a `ToolError`. */
 export function convertAnswer(
   answer: BurnAnswer,
   gatheredAtMs: number,
@@ -68,7 +68,7 @@
     sources: answer.vms.map(({ vm, incarnation, series }) => {
       const parsed = parseSeries(series);
       if (parsed === undefined) {
-        throw new ToolError("The VM sent figures of another form", {
+        throw new ToolError("The VM sent burn figures in an unknown format", {
           exitCode: EXIT_UNREACHABLE,
           step: "read_answer",
           hint: "The tool and the VM may be of different releases",
@@ -82,7 +82,7 @@
   };
 }
 
-/** The part of a saved report that `readFoldFiles` reads back. */
+/** Builds the part of a saved report that `readFoldFiles` reads back. */
 export function buildSavedReport(fold: BurnFold): SavedReport {
   return {
     kind: KIND,
@@ -137,33 +137,33 @@
     }
   }
   if (input.samples.length === 0 && input.logged.length === 0) {
-    throw new ToolError("The files hold no report and no finished request", {
+    throw new ToolError("The files contain no report and no finished request", {
       exitCode: EXIT_UNREADABLE,
       step: "read_fold",
-      hint: "Give reports saved by `burn --json`, or log files of the daemon",
+      hint: "Use reports saved by `burn --json` or log files of the daemon",
     });
   }
   return input;
 }
 
-/** Reads a saved report. Throws a `ToolError`; `name` stands in it. */
+/** Parses a saved report. Throws a `ToolError` that contains `name`. */
 export function parseSavedReport(text: string, name: string): BurnSample {
   const saved = SAVED_REPORT.safeParse(parseJson(text)).data;
   const sources = saved?.vms.map(convertSource);
   if (saved === undefined || sources?.includes(undefined)) {
-    throw new ToolError(`${name} is no report saved by burn --json`, {
+    throw new ToolError(`${name} is not a report saved by burn --json`, {
       exitCode: EXIT_UNREADABLE,
       step: "read_fold",
       hint: "It may be of another release",
     });
   }
   if (saved.log_requests > 0) {
-    // Its log lines are counts by now: folded once more with the same log
-    // file, they would be counted twice and nobody would see it.
+    // Requests from logs are only counts in a saved report. Merging it with the
+    // same log file again would count them twice without any sign of it.
     throw new ToolError(`${name} was itself folded with log files`, {
       exitCode: EXIT_UNREADABLE,
       step: "read_fold",
-      hint: "Fold the files that it was made of instead",
+      hint: "Use the files that it was made from instead",
     });
   }
   return {
@@ -181,7 +181,7 @@
 async function isSavedReport(file: string): Promise<boolean> {
   const input = createReadStream(file, {
     encoding: "utf8",
-    end: PEEKED_BYTES,
+    end: MAX_PEEKED_BYTES,
   });
   let start = "";
   for await (const chunk of input) start += chunk;
--- a/src/tool/burn/burn_fold.ts
+++ b/src/tool/burn/burn_fold.ts
@@ -1,14 +1,13 @@
 /**
- * Puts samples of many moments, and log lines, into one set of figures as
- * seen from the newest moment.
+ * Merges samples taken at different times, and log lines, into one set of
+ * figures relative to the newest of them.
  *
- * Overlaps. Two samples of one incarnation are joined bucket by bucket
- * (`mergeLife`). A log line's request is left out where a sample of the same
- * incarnation covers its time; the line's time is the VM's clock and the
- * sample's is that of the tool's machine, so requests at the edge of the
- * span may be counted twice or not at all where those clocks differ. Summing
- * whole reports would count each bucket once a report; taking only the newest
- * would lose what replaced VMs served.
+ * Samples of one incarnation are merged bucket by bucket (`mergeIncarnation`):
+ * adding them up would count each bucket once per report, and using only the
+ * newest one would lose the requests of replaced VMs. A request from a log line
+ * is skipped if a sample of the same incarnation covers its time. The line has
+ * the VM's clock and the sample that of the tool's machine, so if those differ,
+ * requests at the edge of the sample may be counted twice or not at all.
  *
  * @module
  */
@@ -27,8 +26,8 @@
   type BurnSample,
   type BurnSource,
   type ClassObjective,
-  formatLifeKey,
-  mergeLife,
+  formatIncarnationKey,
+  mergeIncarnation,
   mergeSpans,
   type MissingVm,
   type PastSpan,
@@ -37,32 +36,32 @@
 
 const HOUR_MS = 3_600_000;
 
-/** Figures of all sources, as seen from `atMs`. */
+/** Merged figures of all sources, relative to `atMs`. */
 export interface BurnFold {
-  /** Calendar time of the newest sample or log line. */
+  /** Wall-clock time of the newest sample or log line. */
   atMs: number;
   /** All figures merged. */
   series: BurnSeries;
-  /** One for each incarnation; spans and series are its own. */
+  /** One for each incarnation, with its own spans and series. */
   sources: BurnSource[];
-  /** What is covered of each VM, before `atMs`. */
+  /** Covered time spans of each VM, relative to `atMs`. */
   spansByVm: ReadonlyMap<string, readonly PastSpan[]>;
   missing: MissingVm[];
   objectives: ClassObjective[];
-  /** Requests taken from log lines. */
+  /** Number of requests counted from log lines. */
   logRequests: number;
-  /** Requests of log lines that a sample had counted already. */
+  /** Number of requests in log lines that a sample already covers. */
   coveredLogRequests: number;
-  /** How many samples went in. */
+  /** Number of samples. */
   samples: number;
 }
 
-/** Folds samples and requests from logs. Needs at least one of either. */
+/** Merges samples and requests from logs; requires at least one of either. */
 export function mergeSamples(
   samples: readonly BurnSample[],
   logged: readonly LogRequest[] = [],
 ): BurnFold {
-  const sources = mergeLives(samples.flatMap(({ sources }) => sources));
+  const sources = mergeIncarnations(samples.flatMap(({ sources }) => sources));
   const distinct = dropRepeated(logged);
   const uncovered = distinct.filter((request) => !isCovered(request, sources));
   const atMs = computeNewest([
@@ -75,7 +74,7 @@
     atMs,
     series: mergeSeries(parts),
     sources,
-    spansByVm: collectSpans({ sources, uncovered, atMs }),
+    spansByVm: collectSpansByVm({ sources, uncovered, atMs }),
     missing: listMissing(samples),
     objectives: findNewest(samples)?.objectives ?? [],
     logRequests: uncovered.length,
@@ -84,16 +83,18 @@
   };
 }
 
-function mergeLives(sources: readonly BurnSource[]): BurnSource[] {
-  const lives = new Map<string, BurnSource[]>();
+function mergeIncarnations(sources: readonly BurnSource[]): BurnSource[] {
+  const byIncarnation = new Map<string, BurnSource[]>();
   for (const source of sources) {
-    const key = formatLifeKey(source);
-    lives.set(key, [...lives.get(key) ?? [], source]);
+    const key = formatIncarnationKey(source);
+    byIncarnation.set(key, [...byIncarnation.get(key) ?? [], source]);
   }
-  return [...lives.keys()].sort().map((key) => mergeLife(lives.get(key)!));
+  return [...byIncarnation.keys()].sort().map((key) =>
+    mergeIncarnation(byIncarnation.get(key)!)
+  );
 }
 
-/** The same line may stand in two files. */
+/** Keeps one line per request, since two files may contain the same line. */
 function dropRepeated(logged: readonly LogRequest[]): LogRequest[] {
   const byId = new Map<string, LogRequest>();
   for (const request of logged) {
@@ -102,7 +103,7 @@
       (known.atMs === request.atMs && known.line < request.line);
     if (isNewer) byId.set(request.requestId, request);
   }
-  // In the order of time, so that the newest stand as examples.
+  // Ordered by time, so that the newest requests become the examples.
   return [...byId.values()].sort((left, right) =>
     left.atMs - right.atMs || compareStrings(left.requestId, right.requestId)
   );
@@ -142,7 +143,7 @@
   }, undefined);
 }
 
-/** The source's figures as seen from `atMs`, to within half a bucket. */
+/** Shifts the source's figures to `atMs`, accurate to half a bucket. */
 function applySeriesShift(source: BurnSource, atMs: number): BurnSeries {
   const { series } = source;
   const shiftMs = atMs - source.gatheredAtMs;
@@ -164,43 +165,51 @@
     coarse: applyBucketShift(entry.coarse, {
       slots: Math.round(shiftMs / COARSE_BUCKET_MS),
     }),
-    // What was the last hour then is the last hour no more.
+    // After an hour, no counted request is from the last hour any more.
     causes: shiftMs < HOUR_MS
       ? entry.causes
       : entry.causes.map((cause) => ({ ...cause, lastHour: 0 })),
   };
 }
 
-/** A VM's logs cover the time from their first line of an incarnation to its
- * last. */
-function collectSpans(
+/**
+ * Collects the covered time spans of each VM. The logs of an incarnation cover
+ * the time from its first to its last line.
+ */
+function collectSpansByVm(
   { sources, uncovered, atMs }: {
     sources: readonly BurnSource[];
     uncovered: readonly LogRequest[];
     atMs: number;
   },
 ): Map<string, PastSpan[]> {
-  const byLife = new Map<string, { vm: string; spans: PastSpan[] }>();
+  const sourcesByIncarnation = new Map<
+    string,
+    { vm: string; spans: PastSpan[] }
+  >();
   for (const source of sources) {
     const shiftMs = atMs - source.gatheredAtMs;
     const spans = source.spans.map((span) => applySpanShift(span, shiftMs));
-    byLife.set(JSON.stringify(["gathered", formatLifeKey(source)]), {
-      vm: source.vm,
-      spans,
-    });
+    sourcesByIncarnation.set(
+      JSON.stringify(["gathered", formatIncarnationKey(source)]),
+      {
+        vm: source.vm,
+        spans,
+      },
+    );
   }
   for (const request of uncovered) {
-    const key = JSON.stringify(["logged", formatLifeKey(request)]);
+    const key = JSON.stringify(["logged", formatIncarnationKey(request)]);
     const agoMs = atMs - request.atMs;
-    const known = byLife.get(key)?.spans[0];
+    const known = sourcesByIncarnation.get(key)?.spans[0];
     const span = {
       fromAgoMs: Math.max(known?.fromAgoMs ?? agoMs, agoMs),
       toAgoMs: Math.min(known?.toAgoMs ?? agoMs, agoMs),
     };
-    byLife.set(key, { vm: request.vm, spans: [span] });
+    sourcesByIncarnation.set(key, { vm: request.vm, spans: [span] });
   }
   const byVm = new Map<string, PastSpan[]>();
-  for (const { vm, spans } of byLife.values()) {
+  for (const { vm, spans } of sourcesByIncarnation.values()) {
     byVm.set(vm, mergeSpans([...byVm.get(vm) ?? [], ...spans]));
   }
   return byVm;
--- a/src/tool/burn/burn_html.ts
+++ b/src/tool/burn/burn_html.ts
@@ -1,6 +1,5 @@
 /**
- * The burn report as one page that needs no network, no script and no other
- * file.
+ * Renders the burn report as a self-contained HTML page without scripts.
  *
  * @module
  */
@@ -21,14 +20,17 @@
 import { toHtmlText } from "./clean_text.ts";
 
 const HOUR_MS = 3_600_000;
-/** Each row's plots take some 20 kB; the table holds every row. */
+/** Limits the page size: the plots of one row take about 20 kB. */
 const MAX_PLOTTED_ROWS = 24;
-const SHOWN_CAUSES = 40;
+const MAX_SHOWN_CAUSES = 40;
 const UNKNOWN = "–";
-/** Whatever slips past the escaping, nothing is run and nothing is fetched. */
+/**
+ * Content security policy: no scripts and no network access, in case a value is
+ * not escaped correctly.
+ */
 const POLICY = "default-src 'none'; style-src 'unsafe-inline'";
 
-/** Renders the page. */
+/** Renders the report as a page. */
 export function renderPage(report: BurnReport): string {
   const when = new Date(report.atMs).toISOString();
   return `<!doctype html>
@@ -58,8 +60,8 @@
 
 function renderSources(report: BurnReport): string {
   return report.isFolded
-    ? `Folded from ${report.samples} reports of ${report.vms.length} VM ` +
-      `lives and ${report.logRequests} requests of logs.`
+    ? `Merged from ${report.samples} reports of ${report.vms.length} VM ` +
+      `incarnations and ${report.logRequests} requests from logs.`
     : `Figures of ${report.vms.length} VMs.`;
 }
 
@@ -69,14 +71,14 @@
     return '<p class="note good">No budget burns above a threshold</p>';
   }
   return findings.map((finding) =>
-    renderNote(finding, finding.isGrave ? "alert" : "warning")
+    renderNote(finding, finding.isCritical ? "alert" : "warning")
   ).join("\n");
 }
 
 function renderLimits(report: BurnReport): string {
   const limits = listLimits(report);
   return limits.map((limit) =>
-    renderNote(limit, limit.isGrave ? "warning" : "")
+    renderNote(limit, limit.isCritical ? "warning" : "")
   )
     .join("\n");
 }
@@ -93,15 +95,15 @@
 }
 
 function renderTable(
-  heads: readonly { text: string; isNumber?: boolean }[],
+  headers: readonly { text: string; isNumber?: boolean }[],
   rows: readonly (readonly Cell[])[],
 ): string {
-  const head = heads.map(({ text, isNumber }) =>
+  const head = headers.map(({ text, isNumber }) =>
     `<th${isNumber ? ' class="number"' : ""}>${toHtmlText(text)}</th>`
   ).join("");
   const body = rows.map((cells) =>
     `<tr>${
-      cells.map((cell, column) => renderCell(cell, heads[column]!)).join("")
+      cells.map((cell, column) => renderCell(cell, headers[column]!)).join("")
     }</tr>`
   ).join("\n");
   return `<div class="scroll">\n<table>\n<thead><tr>${head}</tr></thead>\n` +
@@ -122,7 +124,7 @@
 
 function renderBudgets(report: BurnReport): string {
   const longest = report.windows.at(-1)!.name;
-  const heads = [
+  const headers = [
     { text: "Class" },
     { text: "Workspace" },
     { text: "Tier" },
@@ -130,8 +132,8 @@
     { text: `Counted ${longest}`, isNumber: true },
     { text: `Bad ${longest}`, isNumber: true },
     { text: "Budget left", isNumber: true },
-    ...report.windows.map(({ name, isWhole }) => ({
-      text: `Burn ${name}${isWhole ? "" : "*"}`,
+    ...report.windows.map(({ name, isComplete }) => ({
+      text: `Burn ${name}${isComplete ? "" : "*"}`,
       isNumber: true,
     })),
     { text: "First token p95", isNumber: true },
@@ -151,11 +153,11 @@
     { text: row.firstToken ? formatDuration(row.firstToken.p95) : UNKNOWN },
     { text: row.total ? formatDuration(row.total.p95) : UNKNOWN },
   ]);
-  const marks = report.windows.some(({ isWhole }) => !isWhole)
-    ? '<p class="faint">* The window is longer than what is held; the rate ' +
-      "is over what is held.</p>"
+  const marks = report.windows.some(({ isComplete }) => !isComplete)
+    ? '<p class="faint">* The window is longer than the data held; the rate ' +
+      "covers only that data.</p>"
     : "";
-  return `${renderTable(heads, rows)}\n${marks}`;
+  return `${renderTable(headers, rows)}\n${marks}`;
 }
 
 function buildBudgetCell(row: BurnRow): Cell {
@@ -164,7 +166,7 @@
   return { text: formatShare(left), ...(left < 0 && { style: "alert" }) };
 }
 
-/** A rate is marked where a rule that uses its window fires. */
+/** Highlights a rate if a rule that uses its window fires. */
 function buildRateCell(row: BurnRow, burn: WindowBurn): Cell {
   if (burn.burnRate === undefined) return { text: UNKNOWN };
   const firing = BURN_RULES.findIndex((rule, index) =>
@@ -178,7 +180,7 @@
 function renderTimelines(report: BurnReport): string {
   const used = report.rows.filter((row) => row.windows.at(-1)!.counted > 0);
   if (used.length === 0) return "";
-  const pastMs = report.windows.at(-1)!.heldMs;
+  const pastMs = report.windows.at(-1)!.coveredMs;
   const cards = used.slice(0, MAX_PLOTTED_ROWS).map((row) =>
     renderRowCards(row, pastMs)
   );
@@ -187,9 +189,9 @@
       `${used.length} rows; the table has them all.</p>`
     : "";
   return `<h2>Burn over time</h2>
-<p class="faint">A rate of 1 spends a budget exactly; dashed lines are the
-thresholds ${BURN_RULES.map(({ threshold }) => threshold).join(", ")} where
-they fit. Where none is known, no request ended or nothing is held.</p>
+<p class="faint">A rate of 1 uses up a budget exactly; dashed lines are the
+thresholds ${BURN_RULES.map(({ threshold }) => threshold).join(", ")} if
+they fit. Shaded times have no counted requests or no data.</p>
 ${renderLegend(true)}
 <div class="${pastMs > HOUR_MS ? "pairs" : "cards"}">
 ${cards.join("\n")}
@@ -200,7 +202,7 @@
 function renderLegend(hasEmpty: boolean): string {
   return `<ul class="legend"><li class="late">late</li>
 <li class="refused">refused</li><li class="lost">lost</li>${
-    hasEmpty ? '\n<li class="empty">none known</li>' : ""
+    hasEmpty ? '\n<li class="empty">no requests or data</li>' : ""
   }</ul>`;
 }
 
@@ -230,7 +232,7 @@
   const span = report.isFolded ? "total" : "lastHour";
   const causes = report.causes.filter((cause) => cause[span] > 0);
   if (causes.length === 0) return "";
-  const title = report.isFolded ? "all that is held" : "the last hour";
+  const title = report.isFolded ? "all data held" : "the last hour";
   const cards = CAUSE_DIMENSIONS.filter((dimension) => dimension !== "result")
     .map((dimension) =>
       `<section class="card"><h3>By ${dimension}</h3>
@@ -242,13 +244,13 @@
 ${cards.join("\n")}
 </div>
 <h2>Causes, worst first</h2>
-<p class="faint"><code>persimmonslip fate ID</code> tells each step of an
-example while its VM lives, and from logs after that.</p>
-${renderCauses(causes.slice(0, SHOWN_CAUSES))}`;
+<p class="faint"><code>persimmonslip fate ID</code> shows each step of an
+example while its VM runs, and from logs after that.</p>
+${renderCauses(causes.slice(0, MAX_SHOWN_CAUSES))}`;
 }
 
 function renderCauses(causes: BurnReport["causes"]): string {
-  const heads = [
+  const headers = [
     { text: "Class" },
     { text: "Workspace" },
     { text: "Result" },
@@ -270,11 +272,11 @@
     { text: String(cause.total) },
     { text: cause.examples.join(" ") || UNKNOWN, isCode: true },
   ]);
-  return renderTable(heads, rows);
+  return renderTable(headers, rows);
 }
 
 function renderVms(report: BurnReport): string {
-  const heads = [
+  const headers = [
     { text: "VM" },
     { text: "Incarnation" },
     { text: "Lived", isNumber: true },
@@ -292,5 +294,5 @@
     { text: UNKNOWN },
     { text: UNKNOWN },
   ]);
-  return renderTable(heads, [...found, ...missing]);
+  return renderTable(headers, [...found, ...missing]);
 }
--- a/src/tool/burn/burn_json.ts
+++ b/src/tool/burn/burn_json.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as JSON, which `--fold` can read back.
+ * Converts the burn report to JSON, which `--fold` can read back.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 import type { BurnReport } from "./burn_report.ts";
 import type { BurnRow, TimelinePoint } from "./burn_rows.ts";
 
-/** The value that `--json` prints. */
+/** Builds the value that `--json` prints. */
 export function buildJson(fold: BurnFold, report: BurnReport): object {
   return {
     ...buildSavedReport(fold),
@@ -19,9 +19,9 @@
     windows: report.windows.map((window) => ({
       window: window.name,
       ms: window.ms,
-      held_ms: window.heldMs,
-      whole: window.isWhole,
-      short_vms: window.shortVms,
+      held_ms: window.coveredMs,
+      whole: window.isComplete,
+      short_vms: window.partialVms,
     })),
     rows: report.rows.map(toJsonRow),
     blame: report.breakdown,
--- a/src/tool/burn/burn_logs.ts
+++ b/src/tool/burn/burn_logs.ts
@@ -1,6 +1,6 @@
 /**
- * Finished requests from a daemon's log lines, for times that no saved report
- * covers.
+ * Reads finished requests from log lines of the daemon, for times that no saved
+ * report covers.
  *
  * @module
  */
@@ -26,9 +26,11 @@
 
 const FINISHED_EVENT = "request_finished";
 const HOUR_MS = 3_600_000;
-/** Where a line does not say at which step a request ended. */
+/** Shown if a line does not contain the step at which the request ended. */
 const UNKNOWN_STEP = "not logged";
-/** A caller's own mistakes, which spend no budget: as in the daemon. */
+/**
+ * Client errors, which use no error budget; the same codes as in the daemon.
+ */
 const UNCOUNTED_CODES: ReadonlySet<string> = new Set([
   "bad_request",
   "unauthorized",
@@ -37,13 +39,13 @@
   "payload_too_large",
 ]);
 
-/** A request that a log line says is over. */
+/** A finished request according to its log line. */
 export interface LogRequest {
   requestId: string;
-  /** The VM that ran it, as far as the line or the id tells. */
+  /** The VM that ran it, from the line or the request id; else empty. */
   vm: string;
   incarnation: string;
-  /** Calendar time of its end by the VM's clock. */
+  /** Wall-clock time of its end by the VM's clock. */
   atMs: number;
   workspace: string;
   className: string;
@@ -54,13 +56,15 @@
   totalMs: number;
   tokens: number;
   wastedTokens: number;
-  /** The line itself, to choose between two of one request. */
+  /** The line itself; breaks ties between two lines of one request. */
   line: string;
 }
 
-/** Reads a log line; undefined where it ends no request that counts. */
+/**
+ * Parses a log line; undefined unless it reports a finished, counted request.
+ */
 export function parseFinishedLine(line: string): LogRequest | undefined {
-  // Most lines are of other events; this spares reading them in full.
+  // Most lines are of other events and need no parsing.
   if (!line.includes(FINISHED_EVENT)) return undefined;
   const pairs = parseLogLine(line);
   if (pairs?.event !== FINISHED_EVENT) return undefined;
@@ -89,7 +93,7 @@
   };
 }
 
-/** The requests' figures as seen from `atMs`. */
+/** Builds the figures of the requests relative to `atMs`. */
 export function buildLogSeries(
   requests: readonly LogRequest[],
   atMs: number,
@@ -115,7 +119,7 @@
   };
 }
 
-/** Counts the requests of one class of one workspace. */
+/** Accumulates the requests of one class of one workspace. */
 class EntryBuilder {
   readonly #names: { workspace: string; className: string };
   readonly #atMs: number;
@@ -150,7 +154,7 @@
       fine: buildBuckets(FINE_BUCKET_MS, this.#fine),
       coarse: buildBuckets(COARSE_BUCKET_MS, this.#coarse),
       causes: [...this.#causes.values()].sort(compareCauses),
-      // The line does not say when the first token came.
+      // Log lines do not contain the time to first token.
       firstToken: LatencyHistogram.create().encode(),
       total: this.#total.encode(),
       tokens: this.#tokens,
--- a/src/tool/burn/burn_notes.ts
+++ b/src/tool/burn/burn_notes.ts
@@ -1,5 +1,5 @@
 /**
- * What the figures say, and what they cannot say, in sentences.
+ * Findings and limitations of the burn report as sentences.
  *
  * @module
  */
@@ -7,18 +7,18 @@
 import { formatDuration } from "../table.ts";
 import type { BurnReport } from "./burn_report.ts";
 import type { BurnRow } from "./burn_rows.ts";
-import { BURN_RULES, type RuleBurn } from "./burn_rules.ts";
+import { BURN_RULES, type RuleResult } from "./burn_rules.ts";
 
-const SHOWN_NAMES = 8;
+const MAX_SHOWN_NAMES = 8;
 
 /** One sentence of the report. */
 export interface BurnNote {
   text: string;
-  /** Whether a reader must know it to read the rest. */
-  isGrave: boolean;
+  /** Whether the note needs attention; shown more prominently. */
+  isCritical: boolean;
 }
 
-/** Rows whose budget burns, the worst first. */
+/** Lists the rows whose budget burns, the worst first. */
 export function listFindings(report: BurnReport): BurnNote[] {
   return report.rows.flatMap((row) =>
     row.rules
@@ -26,24 +26,24 @@
       .slice(0, 1)
       .map((rule) => ({
         text: formatFinding(row, rule),
-        isGrave: rule.rule === BURN_RULES[0]!.name,
+        isCritical: rule.rule === BURN_RULES[0]!.name,
       }))
   );
 }
 
-/** What is missing from the figures, and what that hides. */
+/** Lists which data is missing and how that limits the report. */
 export function listLimits(report: BurnReport): BurnNote[] {
   return [
     ...listMissingNotes(report),
     ...listWindowNotes(report),
-    ...listYoungNotes(report),
+    ...listShortHistoryNotes(report),
     ...listHistoryNotes(report),
     ...listFoldNotes(report),
-    ...listReachNotes(report),
+    ...listUnreachableNotes(report),
   ];
 }
 
-/** The workspaces of a row. */
+/** Formats the workspaces that a row covers. */
 export function formatWorkspace(row: BurnRow, report: BurnReport): string {
   if (row.workspace !== undefined) return row.workspace;
   const hasOwn = report.rows.some((other) =>
@@ -52,21 +52,21 @@
   return hasOwn ? "(all others)" : "(all)";
 }
 
-/** The name of a row for people. */
+/** Formats the name of a row for sentences. */
 export function formatRowName(row: BurnRow): string {
   return row.workspace === undefined
     ? row.className
     : `${row.className} of ${row.workspace}`;
 }
 
-function formatFinding(row: BurnRow, found: RuleBurn): string {
+function formatFinding(row: BurnRow, found: RuleResult): string {
   const rule = BURN_RULES.find(({ name }) => name === found.rule)!;
   const formatBurn = (name: string) => {
     const burn = row.windows.find(({ window }) => window === name);
     return `${burn?.burnRate?.toFixed(1) ?? "-"} over ${name}`;
   };
   const part = found.state === "burning_on_part"
-    ? `, on the part of ${rule.long} that is held`
+    ? `, on the part of ${rule.long} with data`
     : "";
   return `${formatRowName(row)} burns its budget ${rule.name}: ` +
     `${formatBurn(rule.short)} and ${formatBurn(rule.long)}, both above ` +
@@ -81,47 +81,51 @@
       : `${vm} (${why})`
   );
   return [{
-    text: `Not reached: ${names.join(", ")}. What they served is in none of ` +
-      "these figures, good or bad: were they the ones that fail, the budgets " +
-      "burn faster than is shown here",
-    isGrave: true,
+    text: `Not reached: ${names.join(", ")}. Their requests are in none of ` +
+      "these figures, good or bad: if they are the failing VMs, the budgets " +
+      "burn faster than shown",
+    isCritical: true,
   }];
 }
 
 function listWindowNotes(report: BurnReport): BurnNote[] {
-  return report.windows.filter(({ isWhole }) => !isWhole).slice(0, 1)
-    .map(({ name, heldMs }) => ({
-      text: `Windows from ${name} on are longer than what is held ` +
-        `(${formatDuration(heldMs)}): their rates are over what is held`,
-      isGrave: false,
+  return report.windows.filter(({ isComplete }) => !isComplete).slice(0, 1)
+    .map(({ name, coveredMs }) => ({
+      text: `Windows from ${name} on are longer than the data held ` +
+        `(${formatDuration(coveredMs)}): their rates cover only that data`,
+      isCritical: false,
     }));
 }
 
-function listYoungNotes(report: BurnReport): BurnNote[] {
-  const longest = Math.max(0, ...report.windows.map(({ heldMs }) => heldMs));
+function listShortHistoryNotes(report: BurnReport): BurnNote[] {
+  const longest = Math.max(
+    0,
+    ...report.windows.map(({ coveredMs }) => coveredMs),
+  );
   const young = report.isFolded
     ? []
     : report.vms.filter(({ reachMs }) => reachMs < longest - COARSE_BUCKET_MS);
   if (young.length === 0) return [];
-  const shown = young.slice(0, SHOWN_NAMES).map(({ vm, reachMs }) =>
+  const shown = young.slice(0, MAX_SHOWN_NAMES).map(({ vm, reachMs }) =>
     `${vm} ${formatDuration(reachMs)}`
   );
-  const more = young.length > SHOWN_NAMES
-    ? ` and ${young.length - SHOWN_NAMES} more`
+  const more = young.length > MAX_SHOWN_NAMES
+    ? ` and ${young.length - MAX_SHOWN_NAMES} more`
     : "";
   return [{
     text: `Held for less than the longest: ${shown.join(", ")}${more}`,
-    isGrave: false,
+    isCritical: false,
   }];
 }
 
 function listHistoryNotes(report: BurnReport): BurnNote[] {
-  const isWhole = report.windows.every(({ shortVms }) => shortVms === 0);
-  if (isWhole) return [];
+  const isComplete = report.windows.every(({ partialVms }) => partialVms === 0);
+  if (isComplete) return [];
   return [{
-    text: "No VM keeps history: what a replaced VM served is lost, but for " +
-      "saved reports and logs (--fold)",
-    isGrave: false,
+    text:
+      "VMs do not persist figures: what a replaced VM served is lost, except " +
+      "in saved reports and logs (--fold)",
+    isCritical: false,
   }];
 }
 
@@ -129,35 +133,36 @@
   const notes: BurnNote[] = [];
   if (report.coveredLogRequests > 0) {
     notes.push({
-      text: `${report.coveredLogRequests} requests of the logs fall where a ` +
-        "report covers their VM, and are counted from the report alone",
-      isGrave: false,
+      text: `${report.coveredLogRequests} requests of the logs are already ` +
+        "covered by a report of their VM and counted only once",
+      isCritical: false,
     });
   }
   if (report.isFolded) {
     notes.push({
-      text: "Causes and latencies cannot be cut to a window: HELD counts are " +
-        "of each VM's whole life",
-      isGrave: false,
+      text: "Causes and latencies cannot be limited to a window: HELD counts " +
+        "cover each incarnation of a VM as a whole",
+      isCritical: false,
     });
   }
   return notes;
 }
 
-function listReachNotes(report: BurnReport): BurnNote[] {
+function listUnreachableNotes(report: BurnReport): BurnNote[] {
   const rows = report.rows.filter((row) =>
     row.rules.some(({ state }) => state === "out_of_reach")
   );
   if (rows.length === 0) return [];
-  const names = rows.slice(0, SHOWN_NAMES).map((row) => {
+  const names = rows.slice(0, MAX_SHOWN_NAMES).map((row) => {
     const rules = row.rules.filter(({ state }) => state === "out_of_reach");
     const thresholds = rules.map(({ threshold }) => threshold).join(", ");
     return `${formatRowName(row)} (${thresholds})`;
   });
   return [{
-    text: `Objectives too low for a threshold, even if all failed: ${
-      names.join(", ")
-    }`,
-    isGrave: false,
+    text:
+      `Objectives too low to reach a threshold, even if all requests fail: ${
+        names.join(", ")
+      }`,
+    isCritical: false,
   }];
 }
--- a/src/tool/burn/burn_plots.ts
+++ b/src/tool/burn/burn_plots.ts
@@ -1,6 +1,6 @@
 /**
- * Plots of the burn report as SVG text, drawn by Observable Plot on a document
- * that exists in memory alone.
+ * Renders the plots of the burn report as SVG text, using Observable Plot with
+ * an in-memory document.
  *
  * @module
  */
@@ -12,30 +12,30 @@
 import { BURN_RULES, computeCounted } from "./burn_rules.ts";
 import { toPlainText } from "./clean_text.ts";
 
-/** Narrow enough for a phone, so that letters need not shrink there. */
+/** Plot width in pixels; fits a phone without scaling down the text. */
 const WIDTH = 320;
 const TIMELINE_HEIGHT = 150;
 const BAR_HEIGHT = 22;
 const BAR_MARGIN = 28;
 const LABEL_MARGIN = 112;
 const MAX_LABEL_LENGTH = 17;
-const SHOWN_BARS = 8;
+const MAX_SHOWN_BARS = 8;
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 const DAY_MS = 24 * HOUR_MS;
-const TICKS = 4;
+const TICK_COUNT = 4;
 
 const BAD_RESULTS: readonly BurnCause["result"][] = ["late", "refused", "lost"];
-/** The page sets these for light and dark. */
+/** CSS variables that the page defines for light and dark mode. */
 const COLOURS = {
   domain: [...BAD_RESULTS],
   range: BAD_RESULTS.map((result) => `var(--${result})`),
 };
 const EMPTY_COLOUR = "var(--empty)";
-const PACE_COLOUR = "var(--muted)";
+const THRESHOLD_COLOUR = "var(--muted)";
 const STYLE = { fontSize: "11px", background: "none", overflow: "visible" };
 
-/** One bar of a timeline. */
+/** One bar segment of a timeline; `from` and `to` are on the x axis. */
 interface TimelineBar {
   from: number;
   to: number;
@@ -43,8 +43,10 @@
   result: BurnCause["result"];
 }
 
-/** Draws the burn rate of each step, or the share of bad requests where the
- * row has no objective. `spanMs` is how far back the plot goes. */
+/**
+ * Renders the burn rate of each step, or the share of bad requests if the row
+ * has no objective. `spanMs` is the time span of the plot.
+ */
 export function renderTimeline(
   row: BurnRow,
   { points, spanMs }: { points: readonly TimelinePoint[]; spanMs: number },
@@ -66,13 +68,13 @@
     marginBottom: 26,
     x: {
       domain: [-spanMs / unit.ms, 0],
-      ticks: TICKS,
+      ticks: TICK_COUNT,
       tickFormat: (ago: number) => ago === 0 ? "now" : `${-ago} ${unit.name}`,
       label: null,
     },
     y: {
       domain: [0, top],
-      ticks: TICKS,
+      ticks: TICK_COUNT,
       grid: true,
       label: row.objective === undefined ? "share bad" : "burn rate",
     },
@@ -80,13 +82,16 @@
     marks: [
       buildEmptyMark(shown, { unit, top }),
       buildBarMark(shown.flatMap((point) => listBars(point, { budget, unit }))),
-      Plot.ruleY(thresholds, { stroke: PACE_COLOUR, strokeDasharray: "4 3" }),
+      Plot.ruleY(thresholds, {
+        stroke: THRESHOLD_COLOUR,
+        strokeDasharray: "4 3",
+      }),
       Plot.ruleY([0]),
     ],
   });
 }
 
-/** Shades the steps in which no request was counted. */
+/** Builds the shading of steps without counted requests. */
 function buildEmptyMark(
   points: readonly TimelinePoint[],
   { unit, top }: { unit: { ms: number }; top: number },
@@ -98,7 +103,7 @@
     y1: 0,
     y2: top,
     fill: EMPTY_COLOUR,
-    // Without it the seams between neighbours show as stripes.
+    // Without this, anti-aliased edges between neighbours appear as stripes.
     shapeRendering: "crispEdges",
   });
 }
@@ -117,14 +122,14 @@
   );
 }
 
-/** Draws what is bad by one property, the worst on top. */
+/** Renders the bad requests by one property, the worst on top. */
 export function renderBreakdown(
   found: readonly CauseShare[],
   span: "lastHour" | "total",
 ): string {
   const shares = found.filter((share) => share[span] > 0)
     .toSorted((left, right) => right[span] - left[span])
-    .slice(0, SHOWN_BARS);
+    .slice(0, MAX_SHOWN_BARS);
   const labels = listLabels(shares);
   const bars = shares.flatMap((share, index) =>
     BAD_RESULTS.map((result) => ({
@@ -140,7 +145,7 @@
     marginRight: 40,
     marginTop: 6,
     marginBottom: 20,
-    x: { ticks: TICKS, grid: true, label: null },
+    x: { ticks: TICK_COUNT, grid: true, label: null },
     y: { domain: labels, label: null, tickSize: 0 },
     color: COLOURS,
     marks: [
@@ -197,7 +202,10 @@
     }));
 }
 
-/** The top of the scale; a quiet row shows the pace that the budget allows. */
+/**
+ * Computes the top of the y axis. It is at least 1.2, so that a burn rate of 1
+ * is visible, or 0.1 for the share of bad requests.
+ */
 function computeTop(
   points: readonly TimelinePoint[],
   budget: number,
@@ -209,7 +217,7 @@
   return Math.max(budget === 1 ? 0.1 : 1.2, ...rates);
 }
 
-/** Two long names may be cut to the same label; a bar each needs its own. */
+/** Truncates labels; numbers equal ones, since each bar needs its own label. */
 function listLabels(shares: readonly CauseShare[]): string[] {
   const labels: string[] = [];
   for (const { value } of shares) {
--- a/src/tool/burn/burn_report.ts
+++ b/src/tool/burn/burn_report.ts
@@ -1,5 +1,5 @@
 /**
- * The report on service-level burn.
+ * Computes the burn report: burn rates, budgets and causes.
  *
  * @module
  */
@@ -17,29 +17,29 @@
   compareRows,
   computeRow,
 } from "./burn_rows.ts";
-import { type HeldWindow, listWindows } from "./burn_rules.ts";
+import { type CoveredWindow, listWindows } from "./burn_rules.ts";
 import type { MissingVm } from "./burn_sources.ts";
 
-/** One VM's part. */
-export interface VmPart {
+/** Time that the figures of one VM cover. */
+export interface VmSummary {
   vm: string;
   incarnation: string;
-  /** How long this life of its process had lasted. */
+  /** Age of the incarnation when it was sampled, in milliseconds. */
   gatheredMs: number;
-  /** How far back its buckets go. */
+  /** Age of its oldest bucket, in milliseconds. */
   reachMs: number;
 }
 
-/** Everything that the report shows. */
+/** Contents of the report. */
 export interface BurnReport {
   atMs: number;
   isFolded: boolean;
   samples: number;
   logRequests: number;
   coveredLogRequests: number;
-  vms: VmPart[];
+  vms: VmSummary[];
   missing: MissingVm[];
-  windows: HeldWindow[];
+  windows: CoveredWindow[];
   /** The worst first. */
   rows: BurnRow[];
   /** The worst first. */
--- a/src/tool/burn/burn_rows.ts
+++ b/src/tool/burn/burn_rows.ts
@@ -1,6 +1,6 @@
 /**
- * One row of the report for each class, and for each workspace that has its own
- * objective.
+ * Rows of the burn report: one for each class, and one for each workspace that
+ * has its own objective for a class.
  *
  * @module
  */
@@ -22,8 +22,8 @@
   computeBudget,
   computeRule,
   computeWindow,
-  type HeldWindow,
-  type RuleBurn,
+  type CoveredWindow,
+  type RuleResult,
   type WindowBurn,
 } from "./burn_rules.ts";
 import type { ClassObjective } from "./burn_sources.ts";
@@ -35,14 +35,14 @@
 const MAX_PAST_STEPS = 72;
 const MIN_PAST_STEP_MS = HOUR_MS;
 
-/** Counts of one step of a timeline. */
+/** Counts of one interval of a timeline. */
 export interface TimelinePoint {
   fromAgoMs: number;
   toAgoMs: number;
   counts: BurnCounts;
 }
 
-/** Percentiles of a duration in milliseconds; undefined without any. */
+/** Percentiles of a duration in milliseconds. */
 export interface Percentiles {
   p50: number;
   p95: number;
@@ -52,13 +52,13 @@
 /** A class, or a workspace that has its own objective for it. */
 export interface BurnRow {
   className: string;
-  /** Undefined for all workspaces that have no objective of their own. */
+  /** Undefined for all workspaces without an objective of their own. */
   workspace: string | undefined;
-  /** Undefined where no record names the class. */
+  /** Undefined if no record defines the class. */
   tier: string | undefined;
   objective: number | undefined;
   windows: WindowBurn[];
-  rules: RuleBurn[];
+  rules: RuleResult[];
   budget: BurnBudget | undefined;
   firstToken: Percentiles | undefined;
   total: Percentiles | undefined;
@@ -69,7 +69,7 @@
   past: TimelinePoint[];
 }
 
-/** What goes into one row. */
+/** Input of one row. */
 export interface RowGroup {
   className: string;
   workspace: string | undefined;
@@ -78,7 +78,7 @@
   entries: BurnEntry[];
 }
 
-/** Sorts the entries into rows; a class without requests has one too. */
+/** Groups the entries into rows; classes without requests get one too. */
 export function collectRows(
   entries: readonly BurnEntry[],
   objectives: readonly ClassObjective[],
@@ -122,12 +122,12 @@
 /** Computes one row. */
 export function computeRow(
   group: RowGroup,
-  windows: readonly HeldWindow[],
+  windows: readonly CoveredWindow[],
 ): BurnRow {
   const { entries, ...names } = group;
   const [entry] = mergeSeries([{
     ...createSeries(),
-    // One name for all, so that they merge into one entry.
+    // The same name for all entries, so that they are merged into one.
     entries: entries.map((entry) => ({ ...entry, workspace: "" })),
   }]).entries;
   const burns = windows.map(({ name, ms }) =>
@@ -170,7 +170,7 @@
 
 function computePast(
   buckets: BurnBuckets,
-  longest: HeldWindow,
+  longest: CoveredWindow,
 ): TimelinePoint[] {
   const stepMs = Math.max(MIN_PAST_STEP_MS, longest.ms / MAX_PAST_STEPS);
   const steps = Math.ceil(longest.ms / stepMs);
@@ -196,7 +196,7 @@
   return points;
 }
 
-/** How bad a row is: the index of the first rule that burns, or their number. */
+/** Index of the first burning rule, 0 being the worst; else the rule count. */
 export function computeSeverity(row: BurnRow): number {
   const index = row.rules.findIndex(({ state }) =>
     state === "burning" || state === "burning_on_part"
@@ -204,7 +204,7 @@
   return index === -1 ? row.rules.length : index;
 }
 
-/** Orders rows, the worst first. */
+/** Compares rows, the worst first. */
 export function compareRows(left: BurnRow, right: BurnRow): number {
   return computeSeverity(left) - computeSeverity(right) ||
     computeWorstRate(right) - computeWorstRate(left) ||
--- a/src/tool/burn/burn_rules.ts
+++ b/src/tool/burn/burn_rules.ts
@@ -1,11 +1,12 @@
 /**
- * Windows, burn rates and when a budget is said to burn.
+ * Windows, burn rates and the rules for when a budget counts as burning.
  *
  * The windows and thresholds are those of multi-window, multi-burn-rate alerts:
  * B. Beyer, N. R. Murphy, D. K. Rensin, K. Kawahara, S. Thorne (editors), The
  * Site Reliability Workbook, O'Reilly 2018, chapter 5, "Alerting on SLOs". A
- * budget burns when the rates over a long and a short window are both above the
- * threshold: the long one says that it matters, the short one that it goes on.
+ * budget burns if the rates over a long and a short window both exceed the
+ * threshold: the long window shows that the burn is significant, the short one
+ * that it continues.
  *
  * @module
  */
@@ -16,41 +17,41 @@
   FINE_BUCKETS,
 } from "../../process/burn_stats.ts";
 import type { BurnFold } from "./burn_fold.ts";
-import { computeHeld, mergeSpans } from "./burn_sources.ts";
+import { computeCoveredMs, mergeSpans } from "./burn_sources.ts";
 
 const MINUTE_MS = 60_000;
 const HOUR_MS = 60 * MINUTE_MS;
 const DAY_MS = 24 * HOUR_MS;
 
-/** Windows of the last three days, which a VM can hold. */
-const HELD_WINDOWS: readonly BurnWindow[] = [
+/** Windows within the three days of data that a VM keeps. */
+const VM_WINDOWS: readonly BurnWindow[] = [
   { name: "5min", ms: 5 * MINUTE_MS },
   { name: "30min", ms: 30 * MINUTE_MS },
   { name: "1h", ms: HOUR_MS },
   { name: "6h", ms: 6 * HOUR_MS },
   { name: "3d", ms: 3 * DAY_MS },
 ];
-/** Windows that only a fold can reach. */
+/** Windows that only merged reports or logs can cover. */
 const LONG_WINDOWS: readonly BurnWindow[] = [
   { name: "7d", ms: 7 * DAY_MS },
   { name: "30d", ms: 30 * DAY_MS },
 ];
-/** Pairs of windows and the burn rate that both must be above. */
+/** Rules, the most urgent first. */
 export const BURN_RULES: readonly BurnRule[] = [
   { name: "fast", threshold: 14.4, long: "1h", short: "5min" },
   { name: "slow", threshold: 6, long: "6h", short: "30min" },
   { name: "steady", threshold: 1, long: "3d", short: "6h" },
 ];
-/** Rates are compared and shown without the noise of binary fractions. */
-const RATE_DIGITS = 12;
+/** Rates are rounded to this precision to remove floating-point noise. */
+const RATE_SIGNIFICANT_DIGITS = 12;
 
-/** A span of time up to now. */
+/** A time span that ends now. */
 export interface BurnWindow {
   name: string;
   ms: number;
 }
 
-/** When a budget is said to burn. */
+/** Two windows and the burn rate that both must exceed. */
 export interface BurnRule {
   name: string;
   threshold: number;
@@ -58,59 +59,64 @@
   short: string;
 }
 
-/** A window, and how much of it the figures cover. */
-export interface HeldWindow extends BurnWindow {
-  heldMs: number;
-  /** Whether the figures of some VM or other go back to its start. */
-  isWhole: boolean;
-  /** VMs of which less than the window is held. */
-  shortVms: number;
+/** A window with the part of it that the figures cover. */
+export interface CoveredWindow extends BurnWindow {
+  coveredMs: number;
+  /** Whether at least one VM has figures at every time of the window. */
+  isComplete: boolean;
+  /** Number of VMs whose figures cover only part of the window. */
+  partialVms: number;
 }
 
-/** One window of one row. */
+/** Counts and burn rate of one window of one row. */
 export interface WindowBurn {
   window: string;
   counts: BurnCounts;
-  /** Requests that count for the objective. */
+  /** Number of requests that count towards the objective. */
   counted: number;
   bad: number;
-  /** `bad` over `counted`; undefined without any. */
+  /** `bad` / `counted`; undefined without counted requests. */
   badShare: number | undefined;
-  /** 1 spends the budget exactly; undefined without objective or request. */
+  /**
+   * 1 uses up the budget exactly; undefined without an objective or counted
+   * requests.
+   */
   burnRate: number | undefined;
 }
 
-/** What one rule says of one row. */
+/** Result of a rule for one row. */
 export type RuleState =
-  /** Both windows are above the threshold. */
+  /** Both windows exceed the threshold. */
   | "burning"
-  /** So are they, but the long window is not held whole. */
+  /** As "burning", but the figures cover the long window only in part. */
   | "burning_on_part"
   | "quiet"
-  /** Nothing counted in the long window, or no objective. */
+  /** No counted request in the long window, or no objective. */
   | "no_data"
-  /** Even if all failed, the rate could not pass the threshold. */
+  /** The rate cannot exceed the threshold, even if all requests fail. */
   | "out_of_reach";
 
-/** One rule of one row. */
-export interface RuleBurn {
+/** State of one rule for one row. */
+export interface RuleResult {
   rule: string;
   threshold: number;
   state: RuleState;
 }
 
-/** What is left of an error budget over the longest window. */
+/** Error budget over the longest window. */
 export interface BurnBudget {
   window: string;
-  /** Requests that may be bad. */
+  /** Number of requests that may be bad. */
   allowed: number;
   bad: number;
-  /** 1 when nothing is spent, below 0 when overspent; undefined when none may
-   * be bad. */
+  /**
+   * Unused share: 1 if nothing is used, negative if overspent; undefined if no
+   * request may be bad.
+   */
   left: number | undefined;
 }
 
-/** The burn rate of counts; undefined without requests. */
+/** Computes the burn rate; undefined without counted requests. */
 function computeBurnRate(
   counts: BurnCounts,
   objective: number,
@@ -118,44 +124,46 @@
   const counted = computeCounted(counts);
   if (counted === 0) return undefined;
   const rate = computeBad(counts) / counted / (1 - objective);
-  return Number(rate.toPrecision(RATE_DIGITS));
+  return Number(rate.toPrecision(RATE_SIGNIFICANT_DIGITS));
 }
 
-/** Requests that were late, refused or lost. */
+/** Number of late, refused or lost requests. */
 export function computeBad(counts: BurnCounts): number {
   return counts.late + counts.refused + counts.lost;
 }
 
-/** Requests that count for the objective: not those that the caller gave up. */
+/** Number of requests that count towards the objective: all but cancelled. */
 export function computeCounted(counts: BurnCounts): number {
   return counts.met + computeBad(counts);
 }
 
-/** The windows to show, with how much of each is held. */
-export function listWindows(fold: BurnFold): HeldWindow[] {
+/** Lists the windows to show, with their coverage. */
+export function listWindows(fold: BurnFold): CoveredWindow[] {
   const byVm = [...fold.spansByVm.values()];
   const all = mergeSpans(byVm.flat());
-  const isLong = computeHeld(all, Infinity) > HELD_WINDOWS.at(-1)!.ms;
-  const windows = isLong ? [...HELD_WINDOWS, ...LONG_WINDOWS] : HELD_WINDOWS;
+  const isLong = computeCoveredMs(all, Infinity) > VM_WINDOWS.at(-1)!.ms;
+  const windows = isLong ? [...VM_WINDOWS, ...LONG_WINDOWS] : VM_WINDOWS;
   return windows.map((window) => {
-    const fineMs = computeFineReach(fold, window);
-    const heldMs = Math.min(computeHeld(all, window.ms), fineMs);
+    const fineMs = computeFineReachMs(fold, window);
+    const coveredMs = Math.min(computeCoveredMs(all, window.ms), fineMs);
     return {
       ...window,
-      heldMs,
-      isWhole: isHeldWhole(window, heldMs),
-      shortVms: byVm.filter((spans) =>
-        !isHeldWhole(window, computeHeld(spans, window.ms))
+      coveredMs,
+      isComplete: isFullyCovered(window, coveredMs),
+      partialVms: byVm.filter((spans) =>
+        !isFullyCovered(window, computeCoveredMs(spans, window.ms))
       )
         .length,
     };
   });
 }
 
-/** The bucket in which a window begins need not be held to its start: a VM
- * gives up a bucket as soon as part of it is too old. */
-function isHeldWhole(window: BurnWindow, heldMs: number): boolean {
-  return heldMs >=
+/**
+ * Tolerates one missing bucket at the start of the window, since a VM drops a
+ * bucket as soon as part of it is too old.
+ */
+function isFullyCovered(window: BurnWindow, coveredMs: number): boolean {
+  return coveredMs >=
     window.ms - (isFine(window) ? FINE_BUCKET_MS : COARSE_BUCKET_MS);
 }
 
@@ -163,8 +171,11 @@
   return window.ms <= FINE_BUCKETS * FINE_BUCKET_MS;
 }
 
-/** A busy VM may have given up fine buckets for want of memory. */
-function computeFineReach(fold: BurnFold, window: BurnWindow): number {
+/**
+ * Returns how far back the fine buckets of all sources reach, in milliseconds.
+ * A busy VM may have dropped old ones to limit its memory.
+ */
+function computeFineReachMs(fold: BurnFold, window: BurnWindow): number {
   if (!isFine(window)) return Infinity;
   const reaches = fold.sources.flatMap(({ series }) => {
     const { fineReachMs, reachMs } = series;
@@ -174,7 +185,7 @@
   return Math.min(Infinity, ...reaches);
 }
 
-/** What one window's counts come to. */
+/** Computes the burn of one window from its counts. */
 export function computeWindow(
   counts: BurnCounts,
   options: { name: string; objective: number | undefined },
@@ -193,15 +204,15 @@
   };
 }
 
-/** What a rule says of a row's windows. */
+/** Evaluates a rule on the windows of a row. */
 export function computeRule(
   rule: BurnRule,
   options: {
     burns: readonly WindowBurn[];
-    windows: readonly HeldWindow[];
+    windows: readonly CoveredWindow[];
     objective: number | undefined;
   },
-): RuleBurn {
+): RuleResult {
   const { burns, windows, objective } = options;
   const { name, threshold } = rule;
   const long = burns.find(({ window }) => window === rule.long)?.burnRate;
@@ -210,11 +221,12 @@
   if (objective === undefined || long === undefined) return build("no_data");
   if (1 / (1 - objective) <= threshold) return build("out_of_reach");
   if (long <= threshold || (short ?? 0) <= threshold) return build("quiet");
-  const isWhole = windows.find((window) => window.name === rule.long)?.isWhole;
-  return build(isWhole ? "burning" : "burning_on_part");
+  const isComplete = windows.find((window) => window.name === rule.long)
+    ?.isComplete;
+  return build(isComplete ? "burning" : "burning_on_part");
 }
 
-/** What is left of the budget over the longest window. */
+/** Computes the error budget over the longest window. */
 export function computeBudget(
   longest: WindowBurn,
   objective: number | undefined,
--- a/src/tool/burn/burn_sources.ts
+++ b/src/tool/burn/burn_sources.ts
@@ -1,6 +1,6 @@
 /**
- * What a burn report is made of: the figures of VMs, each with the life of the
- * process that they come from, and how two samples of one life are joined.
+ * Input of a burn report: the figures of VMs by incarnation, and the merging of
+ * several samples of one incarnation.
  *
  * @module
  */
@@ -21,7 +21,7 @@
 } from "../../process/burn_stats.ts";
 import { compareStrings } from "../../version/record_problem.ts";
 
-/** A span of the past, in milliseconds before some moment. */
+/** A past time span, in milliseconds before a reference time. */
 export interface PastSpan {
   fromAgoMs: number;
   toAgoMs: number;
@@ -31,14 +31,14 @@
 export interface BurnSource {
   vm: string;
   incarnation: string;
-  /** Calendar time of the sample, by the clock of the tool's machine. */
+  /** Wall-clock time of the sample, by the clock of the tool's machine. */
   gatheredAtMs: number;
   series: BurnSeries;
-  /** What the figures cover, before `gatheredAtMs`. */
+  /** Time that the figures cover, relative to `gatheredAtMs`. */
   spans: PastSpan[];
 }
 
-/** A VM that gave no figures, and why. */
+/** A VM whose figures could not be collected, and why. */
 export interface MissingVm {
   vm: string;
   why: string;
@@ -50,11 +50,11 @@
   className: string;
   tier: string;
   objective: number;
-  /** Objectives of single workspaces, by name. */
+  /** Objectives of individual workspaces by name. */
   workspaces: ReadonlyMap<string, number>;
 }
 
-/** The figures of one moment. */
+/** The figures of all VMs at one time. */
 export interface BurnSample {
   gatheredAtMs: number;
   sources: BurnSource[];
@@ -62,31 +62,31 @@
   objectives: ClassObjective[];
 }
 
-/** What `series` covers, as a source's spans. */
+/** Returns the time that `series` covers. */
 export function buildSpans(series: BurnSeries): PastSpan[] {
   return [{ fromAgoMs: series.reachMs, toAgoMs: 0 }];
 }
 
-/** Names one life of a process. */
-export function formatLifeKey(
-  life: Pick<BurnSource, "vm" | "incarnation">,
+/** Formats a map key for one incarnation of a VM. */
+export function formatIncarnationKey(
+  source: Pick<BurnSource, "vm" | "incarnation">,
 ): string {
-  return JSON.stringify([life.vm, life.incarnation]);
+  return JSON.stringify([source.vm, source.incarnation]);
 }
 
 /**
- * Joins samples of the same incarnation. The counts of a bucket only grow
- * during a process's life, so the larger of two counts of the same bucket holds
- * all that the smaller does: nothing is counted twice, in whatever order and
- * however often sources are joined. Histograms are the newest sample's alone,
- * since two of them cannot be told apart by time.
+ * Merges samples of the same incarnation. Counts of a bucket never decrease
+ * during an incarnation, so the larger of two counts of a bucket includes the
+ * smaller one. Taking the maximum counts nothing twice, regardless of order and
+ * repetition. Histograms are taken from the newest sample only: they do not
+ * record times, so overlaps cannot be removed.
  */
-export function mergeLife(sources: readonly BurnSource[]): BurnSource {
+export function mergeIncarnation(sources: readonly BurnSource[]): BurnSource {
   const ordered = sources.toSorted(compareNewestFirst);
   const newest = ordered[0]!;
   if (ordered.length === 1) return newest;
-  const shifts = ordered.map((source) => computeLifeShift(newest, source));
-  const groups = new Map<string, JoinPart[]>();
+  const shifts = ordered.map((source) => computeSampleShift(newest, source));
+  const groups = new Map<string, MergePart[]>();
   ordered.forEach((source, index) => {
     for (const entry of source.series.entries) {
       const key = JSON.stringify([entry.workspace, entry.className]);
@@ -110,7 +110,7 @@
   };
 }
 
-/** Spans in order, those that touch made into one. */
+/** Sorts spans and merges those that overlap or touch. */
 export function mergeSpans(spans: readonly PastSpan[]): PastSpan[] {
   const merged: PastSpan[] = [];
   const ordered = spans.toSorted((left, right) =>
@@ -127,8 +127,8 @@
   return merged;
 }
 
-/** How much of the last `windowMs` the spans cover. */
-export function computeHeld(
+/** Computes how much of the last `windowMs` the spans cover. */
+export function computeCoveredMs(
   spans: readonly PastSpan[],
   windowMs: number,
 ): number {
@@ -139,7 +139,7 @@
   }, 0);
 }
 
-/** The span as seen from `shiftMs` later. */
+/** Moves the reference time of a span forward by `shiftMs`. */
 export function applySpanShift(span: PastSpan, shiftMs: number): PastSpan {
   return {
     fromAgoMs: span.fromAgoMs + shiftMs,
@@ -147,7 +147,7 @@
   };
 }
 
-/** The buckets as seen from `slots` buckets later. */
+/** Moves the reference time of buckets forward by `slots` buckets. */
 export function applyBucketShift(
   buckets: BurnBuckets,
   options: { slots: number; depth?: number },
@@ -157,16 +157,16 @@
   return buildBuckets(buckets.widthMs, byAgo);
 }
 
-/** How much older one sample of a life is than another. */
-interface LifeShift {
+/** Age difference between two samples of one incarnation. */
+interface SampleShift {
   exactMs: number;
   fineSlots: number;
   coarseSlots: number;
 }
 
-interface JoinPart {
+interface MergePart {
   entry: BurnEntry;
-  shift: LifeShift;
+  shift: SampleShift;
   isNewest: boolean;
 }
 
@@ -174,18 +174,21 @@
   const byAge = right.series.gatheredMs - left.series.gatheredMs ||
     right.gatheredAtMs - left.gatheredAtMs;
   if (byAge !== 0) return byAge;
-  // Any fixed order will do, so long as it is not that of the files.
+  // Breaks ties by content, so that the order of the files does not matter.
   const [leftText, rightText] = [JSON.stringify(left), JSON.stringify(right)];
   return compareStrings(leftText, rightText);
 }
 
 /**
- * Slots start at multiples of their width on the VM's own clock, so the time
- * that a slot began, counted in the process's life, is the same in every
- * sample. Calendar time would not do: the clocks of two machines that save
- * reports may differ by more than a bucket.
+ * Computes the shift from times relative to the start of the process. Buckets
+ * start at multiples of their width on the VM's own clock, so these times are
+ * the same in every sample. Wall-clock times cannot be used: the clocks of two
+ * machines that save reports may differ by more than a bucket.
  */
-function computeLifeShift(newest: BurnSource, older: BurnSource): LifeShift {
+function computeSampleShift(
+  newest: BurnSource,
+  older: BurnSource,
+): SampleShift {
   return {
     exactMs: newest.series.gatheredMs - older.series.gatheredMs,
     fineSlots: computeSlots(newest, older, FINE_BUCKET_MS),
@@ -208,7 +211,7 @@
   return series.gatheredMs - (series.phaseMs ?? 0) % widthMs;
 }
 
-function mergeEntries(parts: readonly JoinPart[]): BurnEntry {
+function mergeEntries(parts: readonly MergePart[]): BurnEntry {
   const first = parts[0]!.entry;
   return {
     ...first,
@@ -234,7 +237,7 @@
 function mergeBuckets(
   parts: readonly { buckets: BurnBuckets; slots: number; depth?: number }[],
 ): BurnBuckets {
-  const joined = new Map<number, BurnCounts>();
+  const merged = new Map<number, BurnCounts>();
   for (const { buckets, slots, depth } of parts) {
     const byAgo = new Map<number, BurnCounts>();
     addShifted(byAgo, buckets, {
@@ -242,14 +245,14 @@
       ...(depth !== undefined && { depth }),
     });
     for (const [ago, counts] of byAgo) {
-      const known = joined.get(ago) ?? createCounts();
+      const known = merged.get(ago) ?? createCounts();
       for (const result of RESULTS) {
         known[result] = Math.max(known[result], counts[result]);
       }
-      joined.set(ago, known);
+      merged.set(ago, known);
     }
   }
-  return buildBuckets(parts[0]!.buckets.widthMs, joined);
+  return buildBuckets(parts[0]!.buckets.widthMs, merged);
 }
 
 function addShifted(
@@ -265,17 +268,17 @@
   });
 }
 
-function mergeCauses(parts: readonly JoinPart[]): BurnCause[] {
-  const joined = new Map<string, BurnCause>();
+function mergeCauses(parts: readonly MergePart[]): BurnCause[] {
+  const merged = new Map<string, BurnCause>();
   for (const { entry, isNewest } of parts) {
     for (const cause of entry.causes) {
       const { result, step, pool, upstream } = cause;
       const key = JSON.stringify([result, step, pool, upstream]);
-      const known = joined.get(key);
-      // The last hour of an older sample is not that of the newest.
+      const known = merged.get(key);
+      // The last hour of an older sample differs from that of the newest.
       const lastHour = isNewest ? cause.lastHour : known?.lastHour ?? 0;
       const examples = new Set([...known?.examples ?? [], ...cause.examples]);
-      joined.set(key, {
+      merged.set(key, {
         ...cause,
         lastHour,
         total: Math.max(known?.total ?? 0, cause.total),
@@ -283,5 +286,5 @@
       });
     }
   }
-  return [...joined.values()].sort(compareCauses);
+  return [...merged.values()].sort(compareCauses);
 }
--- a/src/tool/burn/burn_style.ts
+++ b/src/tool/burn/burn_style.ts
@@ -4,7 +4,7 @@
  * @module
  */
 
-/** Light and dark, from a phone's width up. */
+/** Supports light and dark mode and narrow screens. */
 export const PAGE_STYLE = `
 :root {
   color-scheme: light dark;
--- a/src/tool/burn/burn_terminal.ts
+++ b/src/tool/burn/burn_terminal.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as text, with colour where a person reads it.
+ * Renders the burn report as text, optionally with terminal colours.
  *
  * @module
  */
@@ -22,12 +22,12 @@
 } from "./burn_rules.ts";
 
 const UNKNOWN = "-";
-const SHOWN_CAUSES = 12;
-const SHOWN_SHARES = 5;
+const MAX_SHOWN_CAUSES = 12;
+const MAX_SHOWN_SHARES = 5;
 const BAR_WIDTH = 24;
 const CHART_STEPS = 30;
 const LEVELS = ["▁", "▂", "▃", "▄", "▅", "▆", "▇", "█"];
-/** A minute in which nothing counted. */
+/** Shown for a step without counted requests. */
 const EMPTY_LEVEL = "·";
 const BAR = "█";
 
@@ -42,12 +42,12 @@
 
 type Style = keyof typeof STYLES;
 
-/** How the text is shown. */
+/** Rendering options. */
 export interface TextOptions {
   hasColour: boolean;
 }
 
-/** Renders the report. */
+/** Renders the report as text. */
 export function renderText(report: BurnReport, options: TextOptions): string {
   const paint = (text: string, style: Style | undefined) =>
     options.hasColour && style !== undefined
@@ -70,27 +70,27 @@
   const lines = [paint(`Service-level burn at ${when}`, "head")];
   lines.push(
     report.isFolded
-      ? `Folded: ${report.samples} reports of ${report.vms.length} VM ` +
-        `lives, and ${report.logRequests} requests from logs`
+      ? `Merged: ${report.samples} reports of ${report.vms.length} VM ` +
+        `incarnations, and ${report.logRequests} requests from logs`
       : `Figures of ${report.vms.length} VMs`,
   );
   for (const limit of listLimits(report)) {
-    const style = limit.isGrave ? "warning" : "faint";
+    const style = limit.isCritical ? "warning" : "faint";
     lines.push(paint(toPlainText(limit.text), style));
   }
   return toLines(lines);
 }
 
 function renderRows(report: BurnReport, paint: Paint): string {
-  if (report.rows.length === 0) return "No class has had a request\n";
-  const heads = [
+  if (report.rows.length === 0) return "No class has received a request\n";
+  const headers = [
     "CLASS",
     "WORKSPACE",
     "OBJECTIVE",
     "COUNTED",
     "BAD",
-    ...report.windows.map(({ name, isWhole }) =>
-      `BURN ${name}${isWhole ? "" : "*"}`
+    ...report.windows.map(({ name, isComplete }) =>
+      `BURN ${name}${isComplete ? "" : "*"}`
     ),
     "LEFT",
     "P95",
@@ -107,18 +107,18 @@
     row.total === undefined ? UNKNOWN : formatDuration(row.total.p95),
     renderChart(row.recent),
   ]);
-  const [head, ...lines] = renderTable(heads, cells.map(toPlainCells))
+  const [head, ...lines] = renderTable(headers, cells.map(toPlainCells))
     .trimEnd().split("\n");
-  const notes = report.windows.every(({ isWhole }) => isWhole)
+  const notes = report.windows.every(({ isComplete }) => isComplete)
     ? []
-    : [paint("* The window is longer than what is held", "faint")];
+    : [paint("* The window is longer than the data held", "faint")];
   return toLines([
     paint(head!, "head"),
     ...lines.map((line, index) => paint(line, getStyle(report.rows[index]!))),
     ...notes,
     paint(
-      "COUNTED, BAD and LEFT are of the longest window; LAST HOUR is the " +
-        "share of bad requests, two minutes a step",
+      "COUNTED, BAD and LEFT cover the longest window; LAST HOUR is the " +
+        "share of bad requests in steps of two minutes",
       "faint",
     ),
   ]);
@@ -130,25 +130,25 @@
     return toLines([paint("No budget burns above a threshold", "good")]);
   }
   return toLines(
-    findings.map(({ text, isGrave }) =>
-      paint(toPlainText(text), isGrave ? "alert" : "warning")
+    findings.map(({ text, isCritical }) =>
+      paint(toPlainText(text), isCritical ? "alert" : "warning")
     ),
   );
 }
 
 function renderBreakdown(report: BurnReport, paint: Paint): string {
   if (report.causes.length === 0) return "";
-  const span = report.isFolded ? "all that is held" : "the last hour";
+  const span = report.isFolded ? "all data held" : "the last hour";
   const count = (share: CauseShare) =>
     report.isFolded ? share.total : share.lastHour;
-  const lines = [paint(`Where the budgets went in ${span}`, "head")];
+  const lines = [paint(`Bad requests by property in ${span}`, "head")];
   for (const dimension of CAUSE_DIMENSIONS) {
     const shares = report.breakdown[dimension].filter((share) =>
       count(share) > 0
     )
       .toSorted((left, right) => count(right) - count(left));
     const sum = shares.reduce((total, share) => total + count(share), 0);
-    const rows = shares.slice(0, SHOWN_SHARES).map((share, index) => [
+    const rows = shares.slice(0, MAX_SHOWN_SHARES).map((share, index) => [
       index === 0 ? dimension : "",
       share.value || "(none)",
       String(count(share)),
@@ -166,9 +166,9 @@
 function renderCauses(report: BurnReport, paint: Paint): string {
   const causes = report.causes
     .filter(({ lastHour, total }) => (report.isFolded ? total : lastHour) > 0)
-    .slice(0, SHOWN_CAUSES);
+    .slice(0, MAX_SHOWN_CAUSES);
   if (causes.length === 0) return "";
-  const heads = [
+  const headers = [
     "CLASS",
     "WORKSPACE",
     "RESULT",
@@ -191,9 +191,9 @@
     cause.examples[0] ?? UNKNOWN,
   ]);
   const title =
-    "Why, worst first; `persimmonslip fate EXAMPLE` tells each step";
+    "Causes, worst first; `persimmonslip fate EXAMPLE` shows each step";
   return `${paint(title, "head")}\n${
-    renderTable(heads, rows.map(toPlainCells))
+    renderTable(headers, rows.map(toPlainCells))
   }`;
 }
 
@@ -207,7 +207,7 @@
   return severity < BURN_RULES.length ? "warning" : undefined;
 }
 
-/** The share of bad requests, oldest step first. */
+/** Renders the share of bad requests, the oldest step first. */
 function renderChart(points: readonly TimelinePoint[]): string {
   const steps: string[] = [];
   const size = Math.ceil(points.length / CHART_STEPS);
--- a/src/tool/burn/clean_text.ts
+++ b/src/tool/burn/clean_text.ts
@@ -1,11 +1,13 @@
 /**
- * Names from records, logs and files, made fit to be shown.
+ * Sanitizes names from records, logs and files for display.
  *
  * @module
  */
 
-/** A control or a change of the writing direction among them could paint over
- * other text, or make one name look like another. */
+/**
+ * Control characters and changes of the writing direction, which could
+ * overwrite other text or make one name look like another.
+ */
 const UNSAFE = new RegExp(
   "[\\u0000-\\u0008\\u000b-\\u001f\\u007f-\\u009f\\u2028\\u2029" +
     "\\u200e\\u200f\\u202a-\\u202e\\u2066-\\u2069\\ufeff]",
@@ -22,12 +24,12 @@
   "'": "&#39;",
 };
 
-/** One line of text without controls. */
+/** Converts text to one line without unsafe characters. */
 export function toPlainText(text: string): string {
   return text.replace(BREAKS, " ").replace(UNSAFE, REPLACEMENT);
 }
 
-/** Text that is safe in an element's content and in a quoted attribute. */
+/** Escapes text for use in HTML content and quoted attributes. */
 export function toHtmlText(text: string): string {
   return toPlainText(text).replace(/[&<>"']/g, (found) => ENTITIES[found]!);
 }
--- a/src/tool/burn/index.ts
+++ b/src/tool/burn/index.ts
@@ -1,5 +1,5 @@
 /**
- * The report on service-level burn.
+ * The burn report: how fast error budgets burn, and why.
  *
  * @module
  */
--- a/src/tool/burn_command.ts
+++ b/src/tool/burn_command.ts
@@ -1,5 +1,5 @@
 /**
- * `persimmonslip burn`: how fast error budgets burn, and why.
+ * `persimmonslip burn`: burn rates of error budgets, and their causes.
  *
  * @module
  */
@@ -21,19 +21,19 @@
 import { EXIT_OK, EXIT_UNREADABLE, ToolError } from "./tool_error.ts";
 import type { VmClient } from "./vm_client.ts";
 
-/** What the report is made of and where it goes. */
+/** Inputs and outputs of the report. */
 export interface BurnOptions {
-  /** Asked for, where nothing is folded. */
+  /** Creates the client; called only if `fold` is empty. */
   client: () => VmClient;
-  /** Saved reports and log files to read in place of asking a VM. */
+  /** Saved reports and log files to read instead of asking a VM. */
   fold: readonly string[];
-  /** A file for the report as a page. */
+  /** File to write the report to as an HTML page. */
   html?: string | undefined;
-  /** Gives objectives where neither a VM nor a saved report does. */
+  /** Source of objectives if neither a VM nor a saved report has any. */
   records?: Snapshot | undefined;
 }
 
-/** Shows the burn of the budgets. Rejects with a `ToolError`. */
+/** Reports the burn rates of error budgets. Rejects with a `ToolError`. */
 export async function runBurn(
   context: ToolContext,
   options: BurnOptions,
@@ -48,7 +48,7 @@
     : merged;
   const report = computeReport(fold);
   if (options.html !== undefined) {
-    // Plots need libraries that no other command does.
+    // Loaded on demand: no other command needs the plotting libraries.
     const { renderPage } = await import("./burn/burn_html.ts");
     await writePage(options.html, renderPage(report));
   }
@@ -80,7 +80,7 @@
   }
 }
 
-/** `NO_COLOR` is the convention of no-color.org: any text but the empty one. */
+/** Follows no-color.org: any non-empty `NO_COLOR` disables colour. */
 function hasColour({ terminal, variables }: ToolContext): boolean {
   return terminal.hasColour && !variables.NO_COLOR && variables.TERM !== "dumb";
 }
--- a/src/tool/check_command.ts
+++ b/src/tool/check_command.ts
@@ -1,5 +1,6 @@
 /**
- * `persimmonslip check` and `diff`: settings and records, offline.
+ * `persimmonslip check` and `diff`: validate and compare settings and records
+ * offline.
  *
  * @module
  */
@@ -22,7 +23,7 @@
   ToolError,
 } from "./tool_error.ts";
 
-/** What is to be checked; at least one of the two. */
+/** Files to check; at least one of the two is required. */
 export interface CheckArguments {
   settings?: string | undefined;
   records?: string | undefined;
@@ -34,7 +35,7 @@
   lines: string[];
 }
 
-/** Checks settings and records; exit code 1 where either has a fault. */
+/** Checks settings and records; exit code 1 if either is invalid. */
 export async function runCheck(
   context: ToolContext,
   target: CheckArguments,
@@ -62,7 +63,10 @@
   };
 }
 
-/** Says what changes for whom; exit code 1 where anything does. */
+/**
+ * Lists the differences between two record directories and the workspaces and
+ * classes that they affect; exit code 1 if there are any.
+ */
 export async function runDiff(
   directories: { before: string; after: string },
 ): Promise<ToolResult> {
@@ -91,13 +95,16 @@
   };
 }
 
-/** Reads an accepted snapshot. Rejects with a `ToolError` that says why not. */
+/**
+ * Reads a snapshot from a record directory. Rejects with a `ToolError` that
+ * lists the problems if the records are invalid.
+ */
 export async function readSnapshot(directory: string): Promise<Snapshot> {
   const result = await buildFromDirectory(directory);
   if (result.kind === "accepted") return result.snapshot;
   const problems = result.problems.map(formatProblem);
   throw new ToolError(
-    `${directory} holds records that no VM would accept:\n${
+    `${directory} contains records that no VM would accept:\n${
       problems.join("\n")
     }`,
     { exitCode: EXIT_UNREADABLE, step: "read_records" },
@@ -114,7 +121,8 @@
       exitCode: EXIT_UNREADABLE,
       step: "read_records",
       cause,
-      hint: "A record directory holds index.json, groups/NAME/VERSION.json " +
+      hint:
+        "A record directory contains index.json, groups/NAME/VERSION.json " +
         "and membership.json",
     });
   }
--- a/src/tool/command_line.ts
+++ b/src/tool/command_line.ts
@@ -21,13 +21,13 @@
 
 const HELP_WIDTH = 80;
 
-/** Takes what a command found out. */
-export type TakeResult = (result: ToolResult) => void;
+/** Receives the result of a command. */
+export type ResultHandler = (result: ToolResult) => void;
 
-/** Builds the parser; `takeResult` is called once by each command that ran. */
+/** Builds the parser; each command that runs calls `onResult` once. */
 export function buildCommandLine(
   context: ToolContext,
-  takeResult: TakeResult,
+  onResult: ResultHandler,
 ): Argv {
   const parser = yargs()
     .scriptName("persimmonslip")
@@ -41,7 +41,7 @@
     .option("json", {
       type: "boolean",
       default: false,
-      describe: "Print JSON in place of text",
+      describe: "Print JSON instead of text",
     })
     .option("debug", {
       type: "boolean",
@@ -50,9 +50,9 @@
     })
     .completion("completion", "Print a completion script for bash or zsh")
     .epilogue(
-      "Exit codes: 0 all is well; 1 a fault, a difference or a fate that is " +
-        "not known; 2 the command line is wrong; 3 a file cannot be read; " +
-        "4 a VM cannot be reached or refuses.",
+      "Exit codes: 0 success; 1 a fault or difference was found, or the " +
+        "request is unknown; 2 invalid command line; 3 a file cannot be " +
+        "read or written; 4 a VM is unreachable or refused the call.",
     )
     .fail((message, error) => {
       throw error ?? new ToolError(message, {
@@ -61,21 +61,21 @@
         hint: "See persimmonslip --help",
       });
     });
-  addOfflineCommands(parser, { context, takeResult });
-  addOperatorCommands(parser, { context, takeResult });
-  addBurnCommand(parser, { context, takeResult });
-  addFateCommand(parser, { context, takeResult });
-  addCallerCommands(parser, { context, takeResult });
+  addOfflineCommands(parser, { context, onResult });
+  addOperatorCommands(parser, { context, onResult });
+  addBurnCommand(parser, { context, onResult });
+  addFateCommand(parser, { context, onResult });
+  addCallerCommands(parser, { context, onResult });
   return parser;
 }
 
-interface CommandSetting {
+interface CommandOptions {
   context: ToolContext;
-  takeResult: TakeResult;
+  onResult: ResultHandler;
 }
 
-function addOfflineCommands(parser: Argv, setting: CommandSetting): void {
-  const { context, takeResult } = setting;
+function addOfflineCommands(parser: Argv, options: CommandOptions): void {
+  const { context, onResult } = options;
   parser.command(
     "check",
     "Check settings and records, offline",
@@ -89,66 +89,66 @@
           type: "string",
           describe: "Directory of records",
         }),
-    async (given) => takeResult(await runCheck(context, given)),
+    async (args) => onResult(await runCheck(context, args)),
   );
   parser.command(
     "diff <before> <after>",
-    "Say what changes for whom between two directories of records, offline",
+    "Show what differs between two directories of records, offline",
     (builder) =>
       builder
         .positional("before", { type: "string", demandOption: true })
         .positional("after", { type: "string", demandOption: true }),
-    async (given) => takeResult(await runDiff(given)),
+    async (args) => onResult(await runDiff(args)),
   );
 }
 
-function addOperatorCommands(parser: Argv, setting: CommandSetting): void {
-  const { context, takeResult } = setting;
+function addOperatorCommands(parser: Argv, options: CommandOptions): void {
+  const { context, onResult } = options;
   parser.command(
     "status",
-    "Show the fleet as one VM sees it",
+    "Show the state of the fleet as seen by one VM",
     withOperatorOptions,
-    async (given) => {
-      takeResult(await runStatus(createOperatorClient(context, given)));
+    async (args) => {
+      onResult(await runStatus(createOperatorClient(context, args)));
     },
   );
   parser.command(
     "versions",
-    "Show which VM has which configuration, since when and from whom",
+    "Show the configuration version of each VM, its age and source",
     withOperatorOptions,
-    async (given) => {
-      takeResult(await runVersions(createOperatorClient(context, given)));
+    async (args) => {
+      onResult(await runVersions(createOperatorClient(context, args)));
     },
   );
   parser.command(
     "drain",
-    "Let a VM finish its requests, take no new ones and end",
+    "Let a VM finish its requests, accept no new ones and exit",
     (builder) =>
       withOperatorOptions(builder).option("wait", {
         type: "boolean",
         default: false,
-        describe: "Wait until the VM has ended",
+        describe: "Wait until the VM has exited",
       }),
-    async (given) => {
-      const client = createOperatorClient(context, given);
-      takeResult(await runDrain(context, client, given));
+    async (args) => {
+      const client = createOperatorClient(context, args);
+      onResult(await runDrain(context, client, args));
     },
   );
 }
 
-function addBurnCommand(parser: Argv, setting: CommandSetting): void {
-  const { context, takeResult } = setting;
+function addBurnCommand(parser: Argv, options: CommandOptions): void {
+  const { context, onResult } = options;
   parser.command(
     "burn",
-    "Show how fast error budgets burn, and why",
+    "Show the burn rates of error budgets and their causes",
     withBurnOptions,
-    async (given) => {
-      takeResult(
+    async (args) => {
+      onResult(
         await runBurn(context, {
-          client: () => createOperatorClient(context, given),
-          fold: given.fold,
-          html: given.html,
-          records: await readRecords(given.records),
+          client: () => createOperatorClient(context, args),
+          fold: args.fold,
+          html: args.html,
+          records: await readRecords(args.records),
         }),
       );
     },
@@ -160,26 +160,26 @@
     .option("html", {
       type: "string",
       requiresArg: true,
-      describe: "Write the report as a page to this file, too",
+      describe: "Also write the report as an HTML page to this file",
     })
     .option("fold", {
       type: "string",
       array: true,
       default: [] as string[],
-      describe: "Fold reports saved by --json and log files in place of " +
+      describe: "Merge reports saved by --json and log files instead of " +
         "asking a VM",
     })
     .option("records", {
       type: "string",
-      describe: "Directory of records, for objectives that no report gives",
+      describe: "Directory of records, for objectives that no report has",
     });
 }
 
-function addFateCommand(parser: Argv, setting: CommandSetting): void {
-  const { context, takeResult } = setting;
+function addFateCommand(parser: Argv, options: CommandOptions): void {
+  const { context, onResult } = options;
   parser.command(
     "fate <id>",
-    "Tell what became of a request",
+    "Show the status and the steps of a request",
     (builder) =>
       withOperatorOptions(builder)
         .positional("id", { type: "string", demandOption: true })
@@ -187,36 +187,36 @@
           type: "string",
           array: true,
           default: [] as string[],
-          describe: "Read log files in place of asking a VM; - is the input",
+          describe: "Read log files instead of asking a VM; - is stdin",
         }),
-    async (given) => {
-      const client = () => createOperatorClient(context, given);
-      takeResult(await runFate(given.id, { client, logs: given.logs }));
+    async (args) => {
+      const client = () => createOperatorClient(context, args);
+      onResult(await runFate(args.id, { client, logs: args.logs }));
     },
   );
 }
 
-function addCallerCommands(parser: Argv, setting: CommandSetting): void {
-  const { context, takeResult } = setting;
+function addCallerCommands(parser: Argv, options: CommandOptions): void {
+  const { context, onResult } = options;
   parser.command(
     "entries",
-    "Show the addresses that callers are given",
+    "Show the entry VM addresses that callers get",
     (builder) =>
       withCallerOptions(builder).option("data-centre", {
         type: "string",
         describe: "Data centre of the caller",
       }),
-    async (given) => {
-      const client = createCallerClient(context, given);
-      const dataCentre = given["data-centre"];
-      takeResult(await runEntries(client, { dataCentre }));
+    async (args) => {
+      const client = createCallerClient(context, args);
+      const dataCentre = args["data-centre"];
+      onResult(await runEntries(client, { dataCentre }));
     },
   );
   parser.command(
     "load",
-    "Send a bounded load and report by class",
+    "Send a bounded load and report results by class",
     (builder) => withLoadOptions(withCallerOptions(builder)),
-    async (given) => takeResult(await runLoadCommand(context, given)),
+    async (args) => onResult(await runLoadCommand(context, args)),
   );
 }
 
--- a/src/tool/fleet_commands.ts
+++ b/src/tool/fleet_commands.ts
@@ -3,12 +3,12 @@
  *
  * @module
  */
-import { buildStory, renderStory } from "./request_explanation.ts";
-import { readFateFromLogs } from "./request_status_logs.ts";
+import { buildExplanation, renderExplanation } from "./request_explanation.ts";
+import { readStatusFromLogs } from "./request_status_logs.ts";
 import {
   DRAIN_ANSWER,
   ENTRIES_ANSWER,
-  FATE_ANSWER,
+  REQUEST_STATUS_ANSWER,
   STATUS_ANSWER,
   type StatusAnswer,
   type VersionDecision,
@@ -20,33 +20,33 @@
 import { isConnectionRefused } from "./http_client.ts";
 import type { VmClient } from "./vm_client.ts";
 
-const POLL_MS = 1_000;
-const NONE = "-";
+const POLL_INTERVAL_MS = 1_000;
+const NO_VALUE = "-";
 
-/** Shows the fleet as one VM sees it. */
+/** Shows the state of the fleet as seen by one VM. */
 export async function runStatus(client: VmClient): Promise<ToolResult> {
   const status = await client.fetch("/v1/status", STATUS_ANSWER);
   return { text: renderStatus(status), json: status, exitCode: EXIT_OK };
 }
 
-/** Shows which VM has which configuration, since when and from whom. */
+/** Shows the configuration version of each VM, its age and source. */
 export async function runVersions(client: VmClient): Promise<ToolResult> {
   const answer = await client.fetch("/v1/versions", VERSIONS_ANSWER);
   const rows = answer.vms.map((vm) => [
     vm.vm,
     formatNumber(vm.version),
-    vm.since_ms == null ? NONE : formatDuration(vm.since_ms),
-    vm.from ?? NONE,
+    vm.since_ms == null ? NO_VALUE : formatDuration(vm.since_ms),
+    vm.from ?? NO_VALUE,
   ]);
   return {
     text: renderTable(["VM", "VERSION", "SINCE", "FROM"], rows) +
-      renderFaults(answer.history),
+      renderUnaccepted(answer.history),
     json: answer,
     exitCode: EXIT_OK,
   };
 }
 
-/** Shows the addresses that callers are given. */
+/** Shows the entry VM addresses that callers get. */
 export async function runEntries(
   client: VmClient,
   options: { dataCentre?: string | undefined },
@@ -62,13 +62,13 @@
   ]);
   return {
     text: renderTable(["VM", "DATA CENTRE", "ADDRESS"], rows) +
-      `Callers may keep this for ${formatDuration(answer.ttl_ms)}\n`,
+      `Callers may cache this for ${formatDuration(answer.ttl_ms)}\n`,
     json: answer,
     exitCode: EXIT_OK,
   };
 }
 
-/** Begins a drain; with `wait`, goes on until the VM has ended. */
+/** Starts a drain; with `wait`, resolves once the VM has exited. */
 export async function runDrain(
   context: ToolContext,
   client: VmClient,
@@ -85,7 +85,7 @@
       exitCode: EXIT_OK,
     };
   }
-  await waitForEnd(context, client);
+  await waitForExit(context, client);
   return {
     text: "The VM has drained and ended\n",
     json: { ...answer, ended: true },
@@ -93,33 +93,36 @@
   };
 }
 
-/** Tells a request's fate; exit code 1 where nothing is known of it. */
+/** Explains a request's status; exit code 1 if none is known. */
 export async function runFate(
   requestId: string,
   source: { client: () => VmClient; logs: readonly string[] },
 ): Promise<ToolResult> {
   const page = source.logs.length > 0
-    ? await readFateFromLogs(requestId, source.logs)
+    ? await readStatusFromLogs(requestId, source.logs)
     : await source.client().find(
       `/v1/requests/${encodeURIComponent(requestId)}`,
-      FATE_ANSWER,
+      REQUEST_STATUS_ANSWER,
     );
-  if (page === undefined) return buildNoFate(requestId, source.logs);
-  const story = buildStory(page);
+  if (page === undefined) return buildUnknownStatus(requestId, source.logs);
+  const explanation = buildExplanation(page);
   return {
-    text: renderStory(page, story),
-    json: { ...page, explanation: story },
+    text: renderExplanation(page, explanation),
+    json: { ...page, explanation },
     exitCode: page.steps.length > 0 ? EXIT_OK : EXIT_FINDING,
   };
 }
 
-function buildNoFate(requestId: string, logs: readonly string[]): ToolResult {
+function buildUnknownStatus(
+  requestId: string,
+  logs: readonly string[],
+): ToolResult {
   const text = logs.length > 0
-    ? `These logs have no line of request ${requestId}. Whether it ran is ` +
+    ? `These logs contain no line of request ${requestId}. Whether it ran is ` +
       "not known.\n"
-    : `No VM that can be reached knows request ${requestId}. It was never ` +
-      "sent, or its VM was replaced, or the record had to make room. Whether " +
-      "it ran is not known; log lines may tell: add --logs FILE.\n";
+    : `No reachable VM has a record of request ${requestId}. It was never ` +
+      "sent, its VM was replaced, or its record was evicted. Whether it ran " +
+      "is not known; the logs may show it: add --logs FILE.\n";
   return {
     text,
     json: { request_id: requestId, outcome: "unknown", steps: [] },
@@ -127,7 +130,7 @@
   };
 }
 
-async function waitForEnd(
+async function waitForExit(
   context: ToolContext,
   client: VmClient,
 ): Promise<void> {
@@ -140,12 +143,12 @@
         );
       }
     } catch (thrown) {
-      // The operators' listener closes last. Only a refused connection shows
-      // that it has: silence would be taken for an end that never came.
+      // The operators' listener closes last, so a refused connection means that
+      // the VM has exited. Other errors do not: a silent VM may still run.
       if (isConnectionRefused(thrown)) return;
       throw thrown;
     }
-    await context.clock.sleep(POLL_MS);
+    await context.clock.sleep(POLL_INTERVAL_MS);
   }
 }
 
@@ -169,23 +172,23 @@
     ["SHARD", "OWNER", "ROOM", "SLOTS", "WAITING BY RANK", "EXPECTED WAIT"],
     status.shards.map((shard) => [
       shard.shard,
-      shard.owner ?? NONE,
+      shard.owner ?? NO_VALUE,
       formatNumber(shard.room),
       formatNumber(shard.slots),
       formatWaiting(shard.waiting_by_rank),
       shard.expected_wait_ms == null
-        ? NONE
+        ? NO_VALUE
         : formatDuration(shard.expected_wait_ms),
     ]),
   );
   return `${head}${members}\n${shards}`;
 }
 
-/** What the VM was offered and did not take, with the reasons. */
-function renderFaults(history: readonly VersionDecision[]): string {
-  const faults = history.filter(({ result }) => result !== "accepted");
-  if (faults.length === 0) return "";
-  const lines = faults.flatMap((fault) => [
+/** Lists the versions that the VM did not accept, with the reasons. */
+function renderUnaccepted(history: readonly VersionDecision[]): string {
+  const unaccepted = history.filter(({ result }) => result !== "accepted");
+  if (unaccepted.length === 0) return "";
+  const lines = unaccepted.flatMap((fault) => [
     `Version ${fault.version} from ${fault.from} was ${fault.result} ` +
     `${formatDuration(fault.age_ms)} ago (content ${fault.digest})`,
     ...fault.problems.map((problem) => `  ${problem}`),
@@ -196,9 +199,9 @@
 function formatWaiting(byRank: Record<string, number>): string {
   const parts = Object.entries(byRank).filter(([, count]) => count > 0)
     .map(([rank, count]) => `${rank}: ${count}`);
-  return parts.join(", ") || NONE;
+  return parts.join(", ") || NO_VALUE;
 }
 
 function formatNumber(value: number | null | undefined): string {
-  return value == null ? NONE : String(value);
+  return value == null ? NO_VALUE : String(value);
 }
--- a/src/tool/http_client.ts
+++ b/src/tool/http_client.ts
@@ -1,5 +1,5 @@
 /**
- * The tool's HTTP calls, through Node's own client.
+ * HTTP client of the tool, based on `node:http`.
  *
  * @module
  */
@@ -9,53 +9,56 @@
 import { EXIT_UNREACHABLE, EXIT_USAGE, ToolError } from "./tool_error.ts";
 
 const MAX_ANSWER_BYTES = 64 * 1_024 * 1_024;
-const MAX_SHOWN_LENGTH = 300;
+const MAX_SHOWN_CHARACTERS = 300;
 const OK_STATUSES = { from: 200, to: 299 };
 
-/** One call. */
+/** One HTTP call. */
 export interface HttpCall {
   method: string;
   url: URL;
   headers: Record<string, string>;
   body?: string;
-  /** Silence on the connection for so long ends the call. */
-  silenceMs: number;
-  /** PEM text of the authority to trust, for https. */
+  /** Silence on the connection after which the call fails. */
+  idleTimeoutMs: number;
+  /** PEM text of the CA to trust, for https. */
   ca?: string;
-  /** Keeps connections for later calls. */
+  /** Pool of connections to reuse. */
   agent?: HttpAgent | HttpsAgent;
 }
 
-/** A whole answer. */
+/** A complete answer. */
 export interface HttpAnswer {
   status: number;
   headers: Record<string, string>;
   body: string;
 }
 
-/** Sends a call; resolves with the head. Rejects with a `ToolError`. */
+/**
+ * Sends a call; resolves when the headers of the answer have arrived. Rejects
+ * with a `ToolError`.
+ */
 export function openAnswer(call: HttpCall): Promise<IncomingMessage> {
   const send = call.url.protocol === "https:" ? requestTls : request;
   return new Promise((resolve, reject) => {
     const outgoing = send(call.url, {
       method: call.method,
       headers: call.headers,
-      timeout: call.silenceMs,
+      timeout: call.idleTimeoutMs,
       ...(call.ca !== undefined && { ca: call.ca }),
       ...(call.agent !== undefined && { agent: call.agent }),
     });
-    // An open connection can go silent for good; without this the tool would
-    // hang without a word.
+    // Without this time-out, the tool would hang without a message if the
+    // connection stays open but silent.
     outgoing.on("timeout", () => {
-      outgoing.destroy(new Error(`Silent for ${call.silenceMs} ms`));
+      outgoing.destroy(new Error(`Silent for ${call.idleTimeoutMs} ms`));
     });
-    outgoing.on("error", (error) => reject(toUnreachable(call, error)));
+    outgoing.on("error", (error) => reject(toUnreachableError(call, error)));
     outgoing.on("response", resolve);
     outgoing.end(call.body);
   });
 }
 
-/** Sends a call and reads its whole answer. Rejects with a `ToolError`. */
+/** Sends a call and reads the complete answer. Rejects with a `ToolError`. */
 export async function sendCall(call: HttpCall): Promise<HttpAnswer> {
   const incoming = await openAnswer(call);
   const chunks: Buffer[] = [];
@@ -67,7 +70,7 @@
       if (size > MAX_ANSWER_BYTES) throw new Error("Answer is too large");
     }
   } catch (thrown) {
-    throw toUnreachable(call, toError(thrown));
+    throw toUnreachableError(call, toError(thrown));
   }
   return {
     status: incoming.statusCode ?? 0,
@@ -76,7 +79,7 @@
   };
 }
 
-/** The headers of an answer, each with one text. */
+/** Converts the headers of an answer to one string each. */
 function toPlainHeaders(
   incoming: IncomingMessage,
 ): Record<string, string> {
@@ -87,19 +90,19 @@
   return headers;
 }
 
-/** Whether an HTTP status says that the call succeeded. */
+/** Whether an HTTP status indicates success. */
 export function isSuccess(status: number): boolean {
   return status >= OK_STATUSES.from && status <= OK_STATUSES.to;
 }
 
-/** Reads a URL of the command line. Throws a `ToolError`. */
+/** Parses the URL given for an option. Throws a `ToolError`. */
 export function parseUrl(text: string | undefined, option: string): URL {
   const variable = `PERSIMMONSLIP_${option.toUpperCase().replaceAll("-", "_")}`;
   if (text === undefined || text === "") {
-    throw new ToolError(`No address is given`, {
+    throw new ToolError(`Address is missing`, {
       exitCode: EXIT_USAGE,
       step: "read_arguments",
-      hint: `Give --${option} http://ADDRESS:PORT, or set ${variable}`,
+      hint: `Use --${option} http://ADDRESS:PORT or set ${variable}`,
     });
   }
   const url = URL.canParse(text) ? new URL(text) : undefined;
@@ -107,18 +110,18 @@
   throw new ToolError(`Expected an http or https URL, not ${text}`, {
     exitCode: EXIT_USAGE,
     step: "read_arguments",
-    hint: `Give --${option} http://ADDRESS:PORT`,
+    hint: `Use --${option} http://ADDRESS:PORT`,
   });
 }
 
-/** Whether nobody listens at the address of a failed call. */
+/** Whether a call failed because nothing listens at its address. */
 export function isConnectionRefused(thrown: unknown): boolean {
   if (!(thrown instanceof ToolError)) return false;
   const cause = thrown.cause() as NodeJS.ErrnoException | undefined;
   return cause?.code === "ECONNREFUSED";
 }
 
-/** The error of a VM's refusal, from its typed body where it has one. */
+/** Builds the error for a refused call, with the message of its JSON body. */
 export function buildRefusedError(
   call: { url: URL },
   answer: HttpAnswer,
@@ -143,19 +146,19 @@
     const error = JSON.parse(body)?.error;
     if (typeof error?.message === "string") return error.message;
   } catch {
-    // Not one of the typed bodies; its text is shown as it is.
+    // Not a JSON error body; its text is shown unchanged.
   }
-  return body.slice(0, MAX_SHOWN_LENGTH) || "an empty answer";
+  return body.slice(0, MAX_SHOWN_CHARACTERS) || "an empty answer";
 }
 
-function toUnreachable(call: HttpCall, error: Error): ToolError {
+function toUnreachableError(call: HttpCall, error: Error): ToolError {
   const { host } = call.url;
   return new ToolError(`${host} cannot be reached`, {
     exitCode: EXIT_UNREACHABLE,
     step: "call",
     peer: host,
     cause: error,
-    hint: "Check that the address is that of the right listener, and that " +
-      "the VM runs",
+    hint: "Check that the address is that of the right listener and that " +
+      "the VM is running",
   });
 }
--- a/src/tool/index.ts
+++ b/src/tool/index.ts
@@ -1,5 +1,6 @@
 /**
- * What lives for one command of the tool.
+ * The operator's command-line tool. Objects of this folder live as long as one
+ * command.
  *
  * @module
  */
--- a/src/tool/load_arguments.ts
+++ b/src/tool/load_arguments.ts
@@ -7,7 +7,7 @@
 import {
   type CallerArguments,
   findCallersUrl,
-  readAuthority,
+  readCaCertificate,
 } from "./arguments.ts";
 import { readSnapshot } from "./check_command.ts";
 import { LOAD_CAPS, runLoad } from "./load_command.ts";
@@ -16,7 +16,7 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** The options as yargs gives them. */
+/** Parsed options of yargs. */
 export interface LoadArguments extends CallerArguments {
   key?: string | undefined;
   class: string[];
@@ -30,7 +30,7 @@
   records?: string | undefined;
 }
 
-/** Adds the options of a load. */
+/** Adds the options of `persimmonslip load`. */
 export function withLoadOptions<T>(builder: Argv<T>) {
   return builder
     .option("key", {
@@ -41,71 +41,71 @@
       type: "string",
       array: true,
       demandOption: true,
-      describe: "Request class; several take turns",
+      describe: "Request class; several are used in rotation",
     })
     .option("model", { type: "string", demandOption: true })
     .option("rate", {
       type: "number",
       default: 5,
-      describe: `Requests a second, at most ${LOAD_CAPS.rate}`,
+      describe: `Requests per second, at most ${LOAD_CAPS.rate}`,
     })
     .option("seconds", {
       type: "number",
       default: 10,
-      describe: `How long, at most ${LOAD_CAPS.seconds}`,
+      describe: `Duration in seconds, at most ${LOAD_CAPS.seconds}`,
     })
     .option("concurrency", {
       type: "number",
       default: 100,
-      describe: `Open requests, at most ${LOAD_CAPS.concurrency}`,
+      describe: `Concurrent requests, at most ${LOAD_CAPS.concurrency}`,
     })
     .option("max-tokens", { type: "number", default: 100 })
     .option("prompt-words", { type: "number", default: 50 })
     .option("silence-seconds", {
       type: "number",
       default: 60,
-      describe: "Silence after which a request counts as broken",
+      describe: "Seconds of silence after which a request counts as broken",
     })
     .option("records", {
       type: "string",
-      describe: "Directory of records that hold the classes' targets",
+      describe: "Directory of records with the targets of the classes",
     });
 }
 
 /** Checks the options and runs the load. Rejects with a `ToolError`. */
 export async function runLoadCommand(
   context: ToolContext,
-  given: LoadArguments,
+  args: LoadArguments,
 ): Promise<ToolResult> {
-  checkCap("rate", given.rate, LOAD_CAPS.rate);
-  checkCap("seconds", given.seconds, LOAD_CAPS.seconds);
-  checkCap("concurrency", given.concurrency, LOAD_CAPS.concurrency);
-  checkCap("max-tokens", given["max-tokens"], Infinity);
-  checkCap("prompt-words", given["prompt-words"], Infinity);
-  checkCap("silence-seconds", given["silence-seconds"], Infinity);
-  const key = given.key ?? context.variables.PERSIMMONSLIP_KEY;
+  checkCap("rate", args.rate, LOAD_CAPS.rate);
+  checkCap("seconds", args.seconds, LOAD_CAPS.seconds);
+  checkCap("concurrency", args.concurrency, LOAD_CAPS.concurrency);
+  checkCap("max-tokens", args["max-tokens"], Infinity);
+  checkCap("prompt-words", args["prompt-words"], Infinity);
+  checkCap("silence-seconds", args["silence-seconds"], Infinity);
+  const key = args.key ?? context.variables.PERSIMMONSLIP_KEY;
   if (key === undefined || key === "") {
-    throw new ToolError("No workspace key is given", {
+    throw new ToolError("Workspace key is missing", {
       exitCode: EXIT_USAGE,
       step: "read_arguments",
-      hint: "Set PERSIMMONSLIP_KEY, or give --key KEY",
+      hint: "Set PERSIMMONSLIP_KEY or use --key KEY",
     });
   }
   return await runLoad(context, {
-    url: findCallersUrl(context, given),
+    url: findCallersUrl(context, args),
     key,
-    classes: given.class,
-    model: given.model,
-    rate: given.rate,
-    seconds: given.seconds,
-    concurrency: given.concurrency,
-    maxTokens: given["max-tokens"],
-    promptWords: given["prompt-words"],
-    silenceMs: given["silence-seconds"] * MS_PER_SECOND,
-    ca: readAuthority(given.ca),
-    records: given.records === undefined
+    classes: args.class,
+    model: args.model,
+    rate: args.rate,
+    seconds: args.seconds,
+    concurrency: args.concurrency,
+    maxTokens: args["max-tokens"],
+    promptWords: args["prompt-words"],
+    idleTimeoutMs: args["silence-seconds"] * MS_PER_SECOND,
+    ca: readCaCertificate(args.ca),
+    records: args.records === undefined
       ? undefined
-      : await readSnapshot(given.records),
+      : await readSnapshot(args.records),
   });
 }
 
--- a/src/tool/load_command.ts
+++ b/src/tool/load_command.ts
@@ -8,8 +8,8 @@
 import { Agent as HttpsAgent } from "node:https";
 import type { Snapshot } from "../version/index.ts";
 import {
-  ClassFigures,
   type ClassReport,
+  ClassStats,
   type LoadTargets,
   renderLoadReport,
   toSeconds,
@@ -25,34 +25,36 @@
 } from "./tool_error.ts";
 import { VmClient } from "./vm_client.ts";
 
-const PROGRESS_MS = 1_000;
-/** Times between arrivals are exponential, cut off at so many means. */
-const MAX_GAP_MEANS = 10;
+const PROGRESS_INTERVAL_MS = 1_000;
+/**
+ * Upper limit of the exponential inter-arrival times, in multiples of the mean.
+ */
+const MAX_GAP_IN_MEANS = 10;
 
-/** Bounds that no option can pass. */
+/** Upper limits of the options. */
 export const LOAD_CAPS = { rate: 1_000, seconds: 3_600, concurrency: 2_000 };
 
-/** What to send, and how much of it. */
+/** Parameters of a load run. */
 export interface LoadOptions {
   /** The callers' listener of any entry VM. */
   url: URL;
   key: string;
   classes: string[];
   model: string;
-  /** Requests a second, all classes together. */
+  /** Requests per second over all classes. */
   rate: number;
   seconds: number;
-  /** Open requests; arrivals past it are counted and not sent. */
+  /** Maximum requests in flight; arrivals beyond it are counted, not sent. */
   concurrency: number;
   maxTokens: number;
   promptWords: number;
-  silenceMs: number;
+  idleTimeoutMs: number;
   ca?: string | undefined;
-  /** Targets by class come from here. */
+  /** Records with the targets of the classes. */
   records?: Snapshot | undefined;
 }
 
-/** Runs a load; exit code 1 where any request broke. */
+/** Runs a load; exit code 1 if any request was broken. */
 export async function runLoad(
   context: ToolContext,
   options: LoadOptions,
@@ -75,19 +77,19 @@
 class LoadRun {
   readonly #context: ToolContext;
   readonly #options: LoadOptions;
-  readonly #figures: ClassFigures[];
+  readonly #classStats: ClassStats[];
   readonly #agent: HttpAgent | HttpsAgent;
   readonly #stop = new AbortController();
-  readonly #open = new Set<Promise<void>>();
+  readonly #inFlight = new Set<Promise<void>>();
   #entries: URL[] = [];
-  #entriesUntil = 0;
+  #entriesExpireAt = 0;
   #sent = 0;
 
   constructor(context: ToolContext, options: LoadOptions) {
     this.#context = context;
     this.#options = options;
-    this.#figures = options.classes.map((name) =>
-      ClassFigures.create(name, findTargets(options.records, name))
+    this.#classStats = options.classes.map((name) =>
+      ClassStats.create(name, findTargets(options.records, name))
     );
     const settings = { keepAlive: true, maxSockets: options.concurrency };
     this.#agent = options.url.protocol === "https:"
@@ -102,14 +104,14 @@
       await this.#fetchEntries();
       const progress = this.#printProgress(startedAt);
       await this.#sendAll(startedAt);
-      await Promise.all(this.#open);
+      await Promise.all(this.#inFlight);
       this.#stop.abort();
       await progress;
     } finally {
       this.#agent.destroy();
     }
     const seconds = toSeconds(clock.now() - startedAt);
-    return this.#figures.map((figures) => figures.toJson(seconds));
+    return this.#classStats.map((figures) => figures.toJson(seconds));
   }
 
   async #sendAll(startedAt: number): Promise<void> {
@@ -118,43 +120,43 @@
     const endAt = startedAt + seconds * 1_000;
     let nextAt = startedAt;
     while (nextAt < endAt) {
-      // Arrivals keep to their plan whatever the answers do; a load that
-      // waited for answers would hide that the system is slow.
+      // Open-loop load: arrivals follow their schedule regardless of answers.
+      // Waiting for answers would hide that the system is slow.
       const waitMs = nextAt - clock.now();
       if (waitMs > 0) await clock.sleep(waitMs);
       this.#renewEntries();
       this.#sendOne();
-      nextAt += this.#pickGap(1_000 / rate);
+      nextAt += this.#pickArrivalGapMs(1_000 / rate);
     }
   }
 
-  #pickGap(meanMs: number): number {
+  #pickArrivalGapMs(meanMs: number): number {
     const gap = -Math.log(1 - this.#context.random.next()) * meanMs;
-    return Math.min(gap, MAX_GAP_MEANS * meanMs);
+    return Math.min(gap, MAX_GAP_IN_MEANS * meanMs);
   }
 
   #sendOne(): void {
-    const figures = this.#figures[this.#sent % this.#figures.length]!;
+    const figures = this.#classStats[this.#sent % this.#classStats.length]!;
     const entry = this.#entries[this.#sent % this.#entries.length]!;
     this.#sent++;
-    if (this.#open.size >= this.#options.concurrency) {
+    if (this.#inFlight.size >= this.#options.concurrency) {
       figures.record({ kind: "not_sent", tokens: 0 });
       return;
     }
     const task = this.#runOne(figures, entry);
-    this.#open.add(task);
-    void task.finally(() => this.#open.delete(task));
+    this.#inFlight.add(task);
+    void task.finally(() => this.#inFlight.delete(task));
   }
 
-  async #runOne(figures: ClassFigures, entry: URL): Promise<void> {
-    const { key, model, maxTokens, silenceMs, ca } = this.#options;
+  async #runOne(figures: ClassStats, entry: URL): Promise<void> {
+    const { key, model, maxTokens, idleTimeoutMs, ca } = this.#options;
     figures.record(
       await runLoadRequest(this.#context.clock, {
         url: entry,
         key,
         model,
         maxTokens,
-        silenceMs,
+        idleTimeoutMs,
         ca,
         className: figures.className,
         prompt: this.#buildPrompt(),
@@ -163,7 +165,7 @@
     );
   }
 
-  /** Words that differ from request to request, so that no cache helps. */
+  /** Random words, so that no request benefits from a prefix cache. */
   #buildPrompt(): string {
     const { random } = this.#context;
     return Array.from(
@@ -172,33 +174,33 @@
     ).join(" ");
   }
 
-  /** Asks where callers should connect. Rejects with a `ToolError`. */
+  /** Fetches the addresses of entry VMs. Rejects with a `ToolError`. */
   async #fetchEntries(): Promise<void> {
     const { url, ca } = this.#options;
     const client = VmClient.create({ url, ca });
     const answer = await client.fetch("/v1/entries", ENTRIES_ANSWER);
     if (answer.entries.length === 0) {
-      throw new ToolError("The VM knows no entry that callers could use", {
+      throw new ToolError("The VM listed no entry VMs for callers", {
         exitCode: EXIT_UNREACHABLE,
         step: "fetch_entries",
         peer: url.host,
       });
     }
     this.#entries = answer.entries.map((entry) => toEntryUrl(url, entry));
-    this.#entriesUntil = this.#context.clock.now() + answer.ttl_ms;
+    this.#entriesExpireAt = this.#context.clock.now() + answer.ttl_ms;
   }
 
   /**
-   * Asks again once the answer is old, beside the arrivals: waiting for a VM
-   * that is gone would hold them up, and the load would look lighter.
+   * Refreshes expired entry addresses in the background. Waiting for the answer
+   * of a failed VM would delay arrivals and reduce the load.
    */
   #renewEntries(): void {
     const { clock } = this.#context;
-    if (clock.now() < this.#entriesUntil) return;
-    this.#entriesUntil = Infinity;
+    if (clock.now() < this.#entriesExpireAt) return;
+    this.#entriesExpireAt = Infinity;
     this.#fetchEntries().catch(() => {
-      // The known entries still serve.
-      this.#entriesUntil = clock.now() + PROGRESS_MS;
+      // Keeps using the known entries until the next attempt.
+      this.#entriesExpireAt = clock.now() + PROGRESS_INTERVAL_MS;
     });
   }
 
@@ -206,13 +208,13 @@
     const { clock, terminal } = this.#context;
     if (!terminal.isInteractive) return;
     while (!this.#stop.signal.aborted) {
-      const ended = this.#figures.reduce((sum, one) => sum + one.ended, 0);
+      const ended = this.#classStats.reduce((sum, one) => sum + one.ended, 0);
       const seconds = Math.round(toSeconds(clock.now() - startedAt));
       terminal.writeError(
         `\r${seconds} of ${this.#options.seconds} s: ${ended} ended, ` +
-          `${this.#open.size} open   `,
+          `${this.#inFlight.size} open   `,
       );
-      await clock.sleep(PROGRESS_MS, this.#stop.signal);
+      await clock.sleep(PROGRESS_INTERVAL_MS, this.#stop.signal);
     }
     terminal.writeError("\n");
   }
--- a/src/tool/load_report.ts
+++ b/src/tool/load_report.ts
@@ -1,5 +1,5 @@
 /**
- * What a load run measured, by class.
+ * Results of a load run by class.
  *
  * @module
  */
@@ -7,28 +7,28 @@
 import { formatDuration, formatShare, renderTable } from "./table.ts";
 
 const MS_PER_SECOND = 1_000;
-const MEDIAN = 50;
-const TAIL = 99;
-const NONE = "-";
+const MEDIAN_PERCENTILE = 50;
+const TAIL_PERCENTILE = 99;
+const NO_VALUE = "-";
 
-/** Targets that an answer must meet, in milliseconds. */
+/** Latency targets in milliseconds. */
 export interface LoadTargets {
   firstTokenMs: number;
   totalMs: number;
 }
 
-/** How one request of the load ended. */
+/** Result of one request of the load. */
 export interface LoadOutcome {
   kind: "answered" | "refused" | "broken" | "not_sent";
-  /** The refusal's code, or why it broke. */
+  /** Code of the refusal, or the error of a broken request. */
   cause?: string;
   firstTokenMs?: number;
   totalMs?: number;
   tokens: number;
 }
 
-/** The figures of one class. */
-export class ClassFigures {
+/** Accumulates the results of one class. */
+export class ClassStats {
   readonly className: string;
   readonly #targets: LoadTargets | undefined;
   readonly #firstToken = LatencyHistogram.create();
@@ -50,11 +50,11 @@
   static create(
     className: string,
     targets: LoadTargets | undefined,
-  ): ClassFigures {
-    return new ClassFigures(className, targets);
+  ): ClassStats {
+    return new ClassStats(className, targets);
   }
 
-  /** Requests that came to an end. */
+  /** Number of requests that were sent and have ended. */
   get ended(): number {
     return this.#answered + this.#refused + this.#broken;
   }
@@ -82,7 +82,9 @@
     this.#goodTokens += outcome.tokens;
   }
 
-  /** The figures as plain data; `seconds` is how long the load ran. */
+  /**
+   * Returns the results as JSON data; `seconds` is the duration of the load.
+   */
   toJson(seconds: number): ClassReport {
     const sent = this.ended;
     return {
@@ -118,26 +120,26 @@
   answered: number;
   refused: number;
   broken: number;
-  /** Left out because too many were open. */
+  /** Not sent because the concurrency limit was reached. */
   not_sent: number;
-  /** Share of those sent that met their targets; null without targets. */
+  /** Share of sent requests that met their targets; null without targets. */
   attainment: number | null;
-  /** Tokens of answers that met their targets. */
+  /** Token rate of answers that met their targets. */
   goodput_tokens_per_second: number;
-  /** Tokens of answers that did not come to their end. */
+  /** Tokens of incomplete answers. */
   wasted_tokens: number;
   first_token_ms: Quantiles;
   total_ms: Quantiles;
   causes: Record<string, number>;
 }
 
-/** Two quantiles in milliseconds; null where nothing was recorded. */
+/** Quantiles in milliseconds; null if nothing was recorded. */
 interface Quantiles {
   p50: number | null;
   p99: number | null;
 }
 
-/** Lays a report out as a table. */
+/** Renders a report as a table. */
 export function renderLoadReport(reports: readonly ClassReport[]): string {
   const rows = reports.map((report) => [
     report.class,
@@ -146,7 +148,7 @@
     String(report.refused),
     String(report.broken),
     String(report.not_sent),
-    report.attainment === null ? NONE : formatShare(report.attainment),
+    report.attainment === null ? NO_VALUE : formatShare(report.attainment),
     report.goodput_tokens_per_second.toFixed(1),
     String(report.wasted_tokens),
     formatQuantile(report.first_token_ms.p50),
@@ -154,7 +156,7 @@
     formatQuantile(report.total_ms.p50),
     formatQuantile(report.total_ms.p99),
   ]);
-  const heads = [
+  const headers = [
     "CLASS",
     "SENT",
     "ANSWERED",
@@ -175,10 +177,10 @@
     )
   );
   const tail = causes.length === 0 ? "" : `\n${causes.join("")}`;
-  return renderTable(heads, rows) + tail;
+  return renderTable(headers, rows) + tail;
 }
 
-/** Seconds from milliseconds. */
+/** Converts milliseconds to seconds. */
 export function toSeconds(ms: number): number {
   return ms / MS_PER_SECOND;
 }
@@ -186,11 +188,11 @@
 function toQuantiles(histogram: LatencyHistogram): Quantiles {
   if (histogram.count === 0) return { p50: null, p99: null };
   return {
-    p50: histogram.getPercentile(MEDIAN),
-    p99: histogram.getPercentile(TAIL),
+    p50: histogram.getPercentile(MEDIAN_PERCENTILE),
+    p99: histogram.getPercentile(TAIL_PERCENTILE),
   };
 }
 
 function formatQuantile(ms: number | null): string {
-  return ms === null ? NONE : formatDuration(ms);
+  return ms === null ? NO_VALUE : formatDuration(ms);
 }
--- a/src/tool/load_request.ts
+++ b/src/tool/load_request.ts
@@ -11,19 +11,19 @@
 import { isSuccess, openAnswer } from "./http_client.ts";
 import type { LoadOutcome } from "./load_report.ts";
 
-const END_MARK = "[DONE]";
+const STREAM_END_MARKER = "[DONE]";
 const MAX_REFUSAL_BYTES = 65_536;
 
-/** What is sent. */
+/** Parameters of one request. */
 export interface LoadRequest {
-  /** An entry VM. */
+  /** URL of an entry VM. */
   url: URL;
   key: string;
   className: string;
   model: string;
   prompt: string;
   maxTokens: number;
-  silenceMs: number;
+  idleTimeoutMs: number;
   ca?: string | undefined;
   agent: HttpAgent | HttpsAgent;
 }
@@ -39,7 +39,7 @@
   let hasEnded = false;
   const parser = createParser({
     onEvent(event) {
-      if (event.data === END_MARK) {
+      if (event.data === STREAM_END_MARKER) {
         hasEnded = true;
         return;
       }
@@ -87,13 +87,13 @@
       "x-request-class": request.className,
     },
     body,
-    silenceMs: request.silenceMs,
+    idleTimeoutMs: request.idleTimeoutMs,
     agent: request.agent,
     ...(request.ca !== undefined && { ca: request.ca }),
   };
 }
 
-/** Whether an event carries text; the first often carries the role alone. */
+/** Whether an event contains text; the first event often has only the role. */
 function hasToken(data: string): boolean {
   try {
     const choice = JSON.parse(data)?.choices?.[0];
@@ -115,7 +115,7 @@
     const code = JSON.parse(text)?.error?.code;
     if (typeof code === "string") return code;
   } catch {
-    // Not one of the router's bodies; the status says what there is to say.
+    // Not an error body of the router; the status is reported instead.
   }
   return `status ${incoming.statusCode}`;
 }
--- a/src/tool/operator_answers.ts
+++ b/src/tool/operator_answers.ts
@@ -1,5 +1,5 @@
 /**
- * What the operator API answers: the shapes that the tool reads.
+ * Schemas of the operator API's answers that the tool reads.
  *
  * @module
  */
@@ -17,7 +17,7 @@
   owner: z.string().nullish(),
   room: z.number().nullish(),
   slots: z.number().nullish(),
-  /** Requests that wait, by the rank of their tier. */
+  /** Waiting requests by the rank of their tier. */
   waiting_by_rank: z.record(z.string(), z.number()).default({}),
   expected_wait_ms: z.number().nullish(),
 });
@@ -44,7 +44,7 @@
     since_ms: z.number().nullish(),
     from: z.string().nullish(),
   })),
-  /** The answering VM's latest decisions, oldest first. */
+  /** Latest decisions of the answering VM, oldest first. */
   history: z.array(z.looseObject({
     version: z.number(),
     digest: z.string(),
@@ -61,7 +61,7 @@
 });
 
 /** `GET /v1/requests/ID`. */
-export const FATE_ANSWER = z.looseObject({
+export const REQUEST_STATUS_ANSWER = z.looseObject({
   request_id: z.string(),
   outcome: z.string(),
   code: z.string().nullish(),
@@ -71,7 +71,7 @@
   arrived_at: z.string().nullish(),
   config_version: z.number().nullish(),
   tokens: z.number().nullish(),
-  /** Why nothing is known, where that is so. */
+  /** Why the outcome is unknown, if it is. */
   why: z.string().nullish(),
   steps: z.array(z.looseObject({
     step: z.string(),
@@ -87,7 +87,7 @@
   vms: z.array(z.looseObject({
     vm: z.string(),
     incarnation: z.string(),
-    /** Read by `parseSeries` of src/process/burn_stats.ts. */
+    /** Parsed by `parseSeries` of src/process/burn_stats.ts. */
     series: z.unknown(),
   })),
   missing: z.array(z.looseObject({ vm: z.string(), why: z.string() })),
@@ -95,7 +95,7 @@
     class: z.string(),
     tier: z.string(),
     objective: z.number().gt(0).lt(1),
-    /** Objectives of single workspaces, by name. */
+    /** Objectives of individual workspaces by name. */
     workspaces: z.record(z.string(), z.number().gt(0).lt(1)),
   })),
 });
@@ -111,11 +111,11 @@
   ttl_ms: z.number(),
 });
 
-/** A VM and the fleet as it sees it. */
+/** State of a VM and of the fleet as seen by it. */
 export type StatusAnswer = z.infer<typeof STATUS_ANSWER>;
-/** One decision of a VM on a version that it was offered. */
+/** Decision of a VM on one version of the configuration. */
 export type VersionDecision = z.infer<typeof VERSIONS_ANSWER>["history"][0];
-/** What became of one request. */
-export type FatePage = z.infer<typeof FATE_ANSWER>;
-/** The figures of all VMs that could be reached. */
+/** Status of one request. */
+export type RequestStatusPage = z.infer<typeof REQUEST_STATUS_ANSWER>;
+/** Burn figures of all reachable VMs. */
 export type BurnAnswer = z.infer<typeof BURN_ANSWER>;
--- a/src/tool/request_explanation.ts
+++ b/src/tool/request_explanation.ts
@@ -1,26 +1,26 @@
 /**
- * Tells a request's fate in words that a support engineer can pass on.
+ * Explains the status of a request in plain sentences for support engineers.
  *
  * @module
  */
 import { match, P } from "ts-pattern";
-import type { FatePage } from "./operator_answers.ts";
+import type { RequestStatusPage } from "./operator_answers.ts";
 import { formatDuration } from "./table.ts";
 
-type Step = FatePage["steps"][number];
+type Step = RequestStatusPage["steps"][number];
 
-/** What is told of one request. */
-export interface FateStory {
-  /** One sentence: what became of it. */
+/** Explanation of one request. */
+export interface RequestExplanation {
+  /** One sentence on how the request ended. */
   outcome: string;
-  /** Where the time went and what happened there, in order. */
+  /** One sentence for each step, in order, with the time spent. */
   events: string[];
-  /** What cannot be told, and why. */
+  /** What is unknown, and why. */
   unknowns: string[];
 }
 
-/** Puts a fate into words. */
-export function buildStory(page: FatePage): FateStory {
+/** Builds the explanation of a request's status. */
+export function buildExplanation(page: RequestStatusPage): RequestExplanation {
   return {
     outcome: formatOutcome(page),
     events: page.steps.map((step, index) =>
@@ -30,8 +30,11 @@
   };
 }
 
-/** Lays a story out as text. */
-export function renderStory(page: FatePage, story: FateStory): string {
+/** Renders an explanation as text. */
+export function renderExplanation(
+  page: RequestStatusPage,
+  explanation: RequestExplanation,
+): string {
   const lines = [
     `Request   ${page.request_id}`,
     `Caller    workspace ${page.workspace ?? "not known"}, class ${
@@ -44,23 +47,23 @@
         ? `, configuration version ${page.config_version}`
         : ""
     }`,
-    `Outcome   ${story.outcome}`,
+    `Outcome   ${explanation.outcome}`,
   ];
-  if (story.events.length > 0) {
+  if (explanation.events.length > 0) {
     lines.push("", "What happened, by time since arrival:");
     page.steps.forEach((step, index) => {
       const age = `+${formatDuration(step.age_ms)}`.padStart(9);
-      lines.push(`${age}  ${story.events[index]}`);
+      lines.push(`${age}  ${explanation.events[index]}`);
     });
   }
-  if (story.unknowns.length > 0) {
+  if (explanation.unknowns.length > 0) {
     lines.push("", "What is not known:");
-    for (const unknown of story.unknowns) lines.push(`  - ${unknown}`);
+    for (const unknown of explanation.unknowns) lines.push(`  - ${unknown}`);
   }
   return lines.map((line) => `${line}\n`).join("");
 }
 
-function formatOutcome(page: FatePage): string {
+function formatOutcome(page: RequestStatusPage): string {
   const refusal = page.steps.findLast((step) => step.step === "refused");
   const why = refusal?.detail ?? page.why;
   const because = why ? `: ${why}` : "";
@@ -70,14 +73,14 @@
       return `Answered in full${formatTokens(page)}.`;
     })
     .with("running", () => {
-      return `Still being worked on${formatTokens(page)}.`;
+      return `Still running${formatTokens(page)}.`;
     })
     .with("not_run", () => {
       return `Not run${code}${because}. No upstream did any work for it, so ` +
         "it may be sent again safely.";
     })
     .with("ran", () => {
-      return `Ran, but the caller did not get the whole answer${code}${because}. Sending it again does the work twice.`;
+      return `Ran, but the caller did not get the complete answer${code}${because}. Sending it again does the work twice.`;
     })
     .otherwise(() => {
       return `Not known${code}${because}. It may have run: send it again only ` +
@@ -85,7 +88,7 @@
     });
 }
 
-function formatTokens(page: FatePage): string {
+function formatTokens(page: RequestStatusPage): string {
   return page.tokens ? `, ${page.tokens} tokens` : "";
 }
 
@@ -97,59 +100,59 @@
     : "";
   return match(step.step)
     .with("arrived", () => "Reached the VM")
-    .with("claimed", () => "Got the one run of its request id")
+    .with("claimed", () => "Claimed the execution of its request id")
     .with("admitted", () => `Within the workspace's limits${detail}`)
     .with("queued", () => {
       const owner = step.peer ? ` at ${step.peer}` : "";
       return `Waited in the queue${owner}${detail}${spent}`;
     })
     .with("passed_on", () => {
-      return `Passed on to a shard that had work of a lower tier${detail}`;
+      return `Forwarded to a shard that had work of a lower tier${detail}`;
     })
     .with("granted", () => `Got a slot on replica ${peer}${detail}`)
     .with("sent", () => `Sent to replica ${peer}${detail}${spent}`)
-    .with("first_token", () => `First token came from ${peer}${spent}`)
+    .with("first_token", () => `First token received from ${peer}${spent}`)
     .with("stream_broken", () => `The stream from ${peer} broke${detail}`)
     .with("preempted", () => {
-      return `Stopped on ${peer} to make room for a higher tier${detail}`;
+      return `Preempted on ${peer} by a higher tier${detail}`;
     })
-    .with("resumed", () => `Went on at ${peer} where it had stopped${detail}`)
-    .with("retried", () => `Tried again${detail}`)
-    .with("answered", () => "The whole answer went to the caller")
+    .with("resumed", () => `Resumed on ${peer} where it had stopped${detail}`)
+    .with("retried", () => `Retried${detail}`)
+    .with("answered", () => "The complete answer was sent to the caller")
     .with("refused", () => `Refused${detail}`)
-    .with("cancelled", () => `The caller went away${detail}`)
-    .with("unknown", () => `From here on its fate is not known${detail}`)
+    .with("cancelled", () => `The caller disconnected${detail}`)
+    .with("unknown", () => `Its status is not known from here on${detail}`)
     .otherwise((name) => `${name}${detail}`);
 }
 
-function listUnknowns(page: FatePage): string[] {
+function listUnknowns(page: RequestStatusPage): string[] {
   const unknowns: string[] = [];
   const last = page.steps.at(-1);
   if (page.why) unknowns.push(page.why);
   if (page.dropped_steps) {
     unknowns.push(
-      `${page.dropped_steps} steps left out: the record had reached its ` +
-        "bound",
+      `${page.dropped_steps} steps left out: the status record had reached ` +
+        "its maximum size",
     );
   }
   match({ outcome: page.outcome, step: last?.step })
     .with({ outcome: "unknown", step: P.string }, () => {
       unknowns.push(
         "Whether the upstream did the work: the request may have reached " +
-          `it${formatLastPeer(page)}, and no answer told what it did`,
+          `it${formatLastPeer(page)}, and no answer arrived`,
       );
     })
     .with({ outcome: "running", step: "sent" }, () => {
-      unknowns.push("How far the upstream is: no token has come yet");
+      unknowns.push("The progress of the upstream: no token has arrived yet");
     })
     .with({ outcome: "running", step: "queued" }, () => {
-      unknowns.push("When its turn comes");
+      unknowns.push("When it will be granted a slot");
     })
     .otherwise(() => {});
   return unknowns;
 }
 
-function formatLastPeer(page: FatePage): string {
+function formatLastPeer(page: RequestStatusPage): string {
   const sent = page.steps.findLast((step) => step.step === "sent");
   return sent?.peer ? ` (${sent.peer})` : "";
 }
--- a/src/tool/request_status_logs.ts
+++ b/src/tool/request_status_logs.ts
@@ -1,5 +1,6 @@
 /**
- * A request's fate from log lines, for when its VM is gone.
+ * Reconstructs the status of a request from log lines, for use after its VM is
+ * gone.
  *
  * @module
  */
@@ -9,16 +10,16 @@
 import { toError } from "../errors.ts";
 import { parseLogLine } from "../process/log_line.ts";
 import { parseRequestId } from "../process/request_ids.ts";
-import type { FatePage } from "./operator_answers.ts";
+import type { RequestStatusPage } from "./operator_answers.ts";
 import { EXIT_UNREADABLE, ToolError } from "./tool_error.ts";
 
 const STEP_EVENT = "request_step";
 const FINISHED_EVENT = "request_finished";
-/** Of a request that was refused before any work on it began. */
+/** Logged for a request that was refused before processing began. */
 const REFUSED_EVENT = "request_refused";
 const STANDARD_INPUT = "-";
-/** Steps after which bytes may have reached an upstream. */
-const STEPS_PAST_SENDING: ReadonlySet<string> = new Set([
+/** Steps that imply that bytes may have reached an upstream. */
+const STEPS_AFTER_SENDING: ReadonlySet<string> = new Set([
   "sent",
   "first_token",
   "stream_broken",
@@ -26,22 +27,31 @@
   "resumed",
   "retried",
 ]);
-/** What a line of the end says; of two the earlier of these is told. */
-const OUTCOMES: readonly string[] = ["answered", "ran", "unknown", "not_run"];
-const GIVEN_BACK = "These logs say that it did not run, and that its id was " +
-  "free again: another VM may have run it, whose log is not here";
-const UNENDED = "The logs end before the request did: its VM was lost, or " +
-  "the lines are in another file";
+/**
+ * Outcomes by precedence: with several final lines, the first of these wins.
+ */
+const OUTCOME_PRECEDENCE: readonly string[] = [
+  "answered",
+  "ran",
+  "unknown",
+  "not_run",
+];
+const ID_RELEASED_REASON =
+  "These logs show that it did not run and that its id was " +
+  "released: another VM may have run it, whose logs are not included";
+const NO_END_REASON =
+  "The logs end before the request did: its VM was lost, or " +
+  "the remaining lines are in another file";
 
 /**
- * Reads log files (`-` for standard input) and puts together what they say of
- * one request; undefined where they say nothing.
+ * Reads log files (`-` for standard input) and builds the status of one
+ * request; undefined if no line belongs to it. Rejects with a `ToolError`.
  */
-export async function readFateFromLogs(
+export async function readStatusFromLogs(
   requestId: string,
   files: readonly string[],
-): Promise<FatePage | undefined> {
-  const builder = new LogFateBuilder(requestId);
+): Promise<RequestStatusPage | undefined> {
+  const builder = new LogStatusBuilder(requestId);
   for (const file of files) {
     const input = file === STANDARD_INPUT
       ? process.stdin
@@ -62,12 +72,12 @@
   return builder.build();
 }
 
-/** Puts a fate together line by line. */
-class LogFateBuilder {
+/** Builds a request status from individual log lines. */
+class LogStatusBuilder {
   readonly #requestId: string;
-  /** A copied or rotated file holds lines that another one has, too. */
+  /** Lines already processed: copied or rotated files repeat lines. */
   readonly #seen = new Set<string>();
-  readonly #steps: FatePage["steps"] = [];
+  readonly #steps: RequestStatusPage["steps"] = [];
   #arrivedAt: string | undefined;
   #finished: Record<string, string> | undefined;
 
@@ -76,26 +86,26 @@
   }
 
   addLine(line: string): void {
-    // Most lines are of other requests; this spares reading them in full.
+    // Most lines belong to other requests and need no parsing.
     if (!line.includes(this.#requestId)) return;
     const pairs = parseLogLine(line);
     if (pairs?.request_id !== this.#requestId || this.#seen.has(line)) return;
     this.#seen.add(line);
     if (pairs.event === STEP_EVENT) this.#addStep(pairs);
-    if (pairs.event === FINISHED_EVENT) this.#addEnd(pairs);
+    if (pairs.event === FINISHED_EVENT) this.#addOutcome(pairs);
     if (pairs.event === REFUSED_EVENT) this.#addRefusal(pairs);
   }
 
-  /** Undefined where no line was of the request. */
-  build(): FatePage | undefined {
+  /** Returns undefined if no line belongs to the request. */
+  build(): RequestStatusPage | undefined {
     if (this.#steps.length === 0 && !this.#finished) return undefined;
     const steps = this.#steps.toSorted((left, right) =>
       left.age_ms - right.age_ms
     );
     const finished = this.#finished;
-    const why = this.#findDoubt(steps);
-    // Without its last line nothing proves that the request did not run, not
-    // even where no line says that it was sent: that line may be lost too.
+    const why = this.#findUncertainty(steps);
+    // Without its final line, the logs do not prove that the request did not
+    // run, even if no line says that it was sent: that line may be lost too.
     const outcome = why === undefined ? finished?.outcome : undefined;
     return {
       request_id: this.#requestId,
@@ -115,35 +125,39 @@
   }
 
   /**
-   * A request that one VM refused without running it may have run at another,
-   * under the same id. Taking the line that is read last would tell a caller
-   * "not run" of work that ran, by the order in which files are named.
+   * Keeps the final line of the highest precedence. A request that one VM
+   * refused may have run on another VM under the same id; keeping the line read
+   * last would report work that ran as "not run", depending on the file order.
    */
-  #addEnd(pairs: Record<string, string>): void {
+  #addOutcome(pairs: Record<string, string>): void {
     const known = this.#finished;
-    if (known === undefined || computeEndRank(pairs) < computeEndRank(known)) {
+    if (
+      known === undefined ||
+      computeOutcomeRank(pairs) < computeOutcomeRank(known)
+    ) {
       this.#finished = pairs;
     }
   }
 
-  /** Why the outcome is not known; undefined where a line says it. */
-  #findDoubt(steps: FatePage["steps"]): string | undefined {
+  /** Returns why the outcome is unknown; undefined if the logs prove it. */
+  #findUncertainty(steps: RequestStatusPage["steps"]): string | undefined {
     if (this.#finished === undefined) {
       const hasBeenSent = steps.some(({ step }) => {
-        return STEPS_PAST_SENDING.has(step);
+        return STEPS_AFTER_SENDING.has(step);
       });
-      return `${UNENDED}${formatSent(hasBeenSent)}`;
+      return `${NO_END_REASON}${formatSent(hasBeenSent)}`;
     }
     const issued = parseRequestId(this.#requestId);
-    // An id that no VM issued is its caller's own, for one attempt at one VM.
-    const isLastWord = this.#finished.outcome !== "not_run" ||
+    // An id that no VM issued is chosen by the caller for a single submission
+    // to one VM.
+    const isConclusive = this.#finished.outcome !== "not_run" ||
       issued === undefined || issued.isSingle;
-    return isLastWord ? undefined : GIVEN_BACK;
+    return isConclusive ? undefined : ID_RELEASED_REASON;
   }
 
   #addRefusal(pairs: Record<string, string>): void {
     this.#arrivedAt ??= pairs.time;
-    this.#addEnd(pairs);
+    this.#addOutcome(pairs);
     this.#steps.push({
       step: "refused",
       age_ms: 0,
@@ -165,13 +179,13 @@
   }
 }
 
-function computeEndRank(pairs: Record<string, string>): number {
-  const rank = OUTCOMES.indexOf(pairs.outcome ?? "");
-  return rank < 0 ? OUTCOMES.indexOf("unknown") : rank;
+function computeOutcomeRank(pairs: Record<string, string>): number {
+  const rank = OUTCOME_PRECEDENCE.indexOf(pairs.outcome ?? "");
+  return rank < 0 ? OUTCOME_PRECEDENCE.indexOf("unknown") : rank;
 }
 
 function formatSent(hasBeenSent: boolean): string {
   return hasBeenSent
-    ? ". It had been sent to an upstream by then"
+    ? ". It had already been sent to an upstream"
     : ". No line says that it was sent to an upstream";
 }
--- a/src/tool/run_tool.ts
+++ b/src/tool/run_tool.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one command of the tool from its arguments to its exit code.
+ * Entry point of the tool: runs one command and computes the exit code.
  *
  * @module
  */
@@ -8,45 +8,47 @@
 import type { ToolContext, ToolResult } from "./terminal.ts";
 import { EXIT_INTERNAL, EXIT_OK, ToolError } from "./tool_error.ts";
 
-/** Runs the command that `words` name; resolves with the exit code. */
+/** Runs the command given by `args`; resolves with the exit code. */
 export async function runTool(
-  words: readonly string[],
+  args: readonly string[],
   context: ToolContext,
 ): Promise<number> {
   const results: ToolResult[] = [];
   try {
     const parser = buildCommandLine(context, (result) => results.push(result));
     let help = "";
-    const given = await parser.parseAsync([...words], {}, (_error, _, text) => {
+    const parsed = await parser.parseAsync([...args], {}, (_error, _, text) => {
       help = text;
     });
     if (help !== "") context.terminal.writeOutput(`${help}\n`);
     for (const result of results) {
       context.terminal.writeOutput(
-        given.json
+        parsed.json
           ? `${JSON.stringify(result.json, undefined, 2)}\n`
           : result.text,
       );
     }
     return results[0]?.exitCode ?? EXIT_OK;
   } catch (thrown) {
-    return printError(toError(thrown), { words, context });
+    return printError(toError(thrown), { args, context });
   }
 }
 
 function printError(
   error: Error,
-  { words, context }: { words: readonly string[]; context: ToolContext },
+  { args, context }: { args: readonly string[]; context: ToolContext },
 ): number {
   const { terminal } = context;
   terminal.writeError(`persimmonslip: ${error.message}\n`);
   if (error instanceof ToolError && error.hint !== undefined) {
     terminal.writeError(`${error.hint}\n`);
   }
-  if (words.includes("--debug")) {
-    terminal.writeError(`${error.stack ?? "There is no stack trace"}\n`);
+  if (args.includes("--debug")) {
+    terminal.writeError(`${error.stack ?? "No stack trace is available"}\n`);
   } else if (!(error instanceof ToolError)) {
-    terminal.writeError("This is a defect; --debug shows where it arose\n");
+    terminal.writeError(
+      "This is a bug in the tool; --debug prints a stack trace\n",
+    );
   }
   return error instanceof ToolError ? error.exitCode : EXIT_INTERNAL;
 }
--- a/src/tool/table.ts
+++ b/src/tool/table.ts
@@ -4,27 +4,27 @@
  * @module
  */
 
-const GAP = "  ";
+const COLUMN_GAP = "  ";
 const NUMERIC = /^-?[\d.,]+(?:%|[a-z]+)?$/;
 
 /**
- * Lines up `rows` under `heads`. A column in which every filled cell is a
- * number is lined up on the right.
+ * Renders `rows` as a table with the column headers `headers`. Columns whose
+ * non-empty cells are all numbers are right-aligned.
  */
 export function renderTable(
-  heads: readonly string[],
+  headers: readonly string[],
   rows: readonly (readonly string[])[],
 ): string {
-  const widths = heads.map((head, column) =>
-    Math.max(head.length, ...rows.map((row) => (row[column] ?? "").length))
+  const widths = headers.map((header, column) =>
+    Math.max(header.length, ...rows.map((row) => (row[column] ?? "").length))
   );
-  const isRight = heads.map((_, column) => isNumericColumn(rows, column));
-  const lines = [heads, ...rows].map((row) =>
-    heads.map((_, column) => {
+  const isRight = headers.map((_, column) => isNumericColumn(rows, column));
+  const lines = [headers, ...rows].map((row) =>
+    headers.map((_, column) => {
       const cell = row[column] ?? "";
       const width = widths[column]!;
       return isRight[column] ? cell.padStart(width) : cell.padEnd(width);
-    }).join(GAP).trimEnd()
+    }).join(COLUMN_GAP).trimEnd()
   );
   return lines.map((line) => `${line}\n`).join("");
 }
@@ -37,12 +37,12 @@
   return cells.length > 0 && cells.every((cell) => NUMERIC.test(cell));
 }
 
-/** A share as a percentage with one decimal. */
+/** Formats a share as a percentage with one decimal. */
 export function formatShare(share: number): string {
   return `${(share * 100).toFixed(1)}%`;
 }
 
-/** A duration in the unit that reads best. */
+/** Formats a duration in ms, s, min or h, depending on its size. */
 export function formatDuration(ms: number): string {
   if (ms < 1_000) return `${Math.round(ms)}ms`;
   if (ms < 60_000) return `${(ms / 1_000).toFixed(1)}s`;
--- a/src/tool/terminal.ts
+++ b/src/tool/terminal.ts
@@ -1,5 +1,5 @@
 /**
- * Where the tool writes, and what it takes from outside.
+ * Output streams and other dependencies of the tool's commands.
  *
  * @module
  */
@@ -7,21 +7,21 @@
 import type { Clock } from "../process/clock.ts";
 import type { Random } from "../process/random.ts";
 
-/** The two streams of a terminal. */
+/** Standard output and standard error of the tool. */
 export abstract class Terminal {
-  /** Whether a person watches, so that progress is worth showing. */
+  /** Whether standard error is a terminal, so that progress is shown. */
   abstract readonly isInteractive: boolean;
-  /** Whether the output goes to a screen that shows colour. */
+  /** Whether standard output is a terminal that may show colour. */
   abstract readonly hasColour: boolean;
   abstract writeOutput(text: string): void;
   abstract writeError(text: string): void;
 }
 
-/** The process's own standard output and error. */
+/** Standard output and standard error of this process. */
 export class ProcessTerminal extends Terminal {
   static create(): ProcessTerminal {
-    // A reader that ends early, such as `head`, breaks the pipe; the tool's
-    // exit code still stands, and a stack trace would only hide it.
+    // A reader that exits early, such as `head`, breaks the pipe. Ignoring the
+    // error keeps the tool's exit code and prints no stack trace.
     process.stdout.on("error", () => {});
     return new ProcessTerminal();
   }
@@ -43,16 +43,16 @@
   }
 }
 
-/** Everything that a command takes from outside. */
+/** Dependencies of a command on its environment. */
 export interface ToolContext {
   terminal: Terminal;
   clock: Clock;
   random: Random;
-  /** The environment variables. */
+  /** Environment variables. */
   variables: Record<string, string | undefined>;
 }
 
-/** What a command found out, for people and for programs. */
+/** Result of a command as text and as JSON. */
 export interface ToolResult {
   text: string;
   json: unknown;
--- a/src/tool/tool_error.ts
+++ b/src/tool/tool_error.ts
@@ -1,27 +1,27 @@
 /**
- * How the tool ends when something goes wrong.
+ * Exit codes and errors of the tool.
  *
  * @module
  */
 import { StepError } from "../errors.ts";
 
-/** All is well. */
+/** Success. */
 export const EXIT_OK = 0;
-/** The command worked and the answer is a no: faults, differences, unknown. */
+/** The command ran and found faults, differences or an unknown request. */
 export const EXIT_FINDING = 1;
-/** The command line is wrong. */
+/** The command line is invalid. */
 export const EXIT_USAGE = 2;
-/** A file cannot be read or is no JSON. */
+/** A file cannot be read or written, or has invalid content. */
 export const EXIT_UNREADABLE = 3;
-/** The VM cannot be reached, or refuses. */
+/** The VM is unreachable or refused the call. */
 export const EXIT_UNREACHABLE = 4;
-/** A defect of the tool. */
+/** A bug in the tool. */
 export const EXIT_INTERNAL = 70;
 
-/** An error that the user can act on: what went wrong, and what to try. */
+/** An error that the user can act on. */
 export class ToolError extends StepError {
   readonly exitCode: number;
-  /** What the user may do about it. */
+  /** Suggested remedy for the user. */
   readonly hint: string | undefined;
 
   constructor(
--- a/src/tool/vm_client.ts
+++ b/src/tool/vm_client.ts
@@ -1,5 +1,5 @@
 /**
- * Calls of the tool to one VM.
+ * HTTP client for the listeners of one VM.
  *
  * @module
  */
@@ -13,10 +13,10 @@
 } from "./http_client.ts";
 import { EXIT_UNREACHABLE, ToolError } from "./tool_error.ts";
 
-const SILENCE_MS = 10_000;
-const NOT_FOUND = 404;
+const IDLE_TIMEOUT_MS = 10_000;
+const STATUS_NOT_FOUND = 404;
 
-/** How a VM is reached. */
+/** Options for connecting to a VM. */
 export interface VmClientOptions {
   url: URL;
   /** Sent as a bearer token. */
@@ -24,7 +24,7 @@
   ca?: string | undefined;
 }
 
-/** A VM's operator or callers' listener. */
+/** Client of a VM's operators' or callers' listener. */
 export class VmClient {
   readonly #options: VmClientOptions;
 
@@ -36,26 +36,29 @@
     return new VmClient(options);
   }
 
-  /** Rejects with a `ToolError` unless the answer is a success of the shape. */
-  async fetch<T>(path: string, shape: z.ZodType<T>): Promise<T> {
-    return await this.#send(this.#buildCall("GET", path), shape);
+  /**
+   * Sends a GET request. Rejects with a `ToolError` unless it succeeds and the
+   * answer matches the schema.
+   */
+  async fetch<T>(path: string, schema: z.ZodType<T>): Promise<T> {
+    return await this.#send(this.#buildCall("GET", path), schema);
   }
 
-  /** As `fetch`, but undefined where the VM knows nothing of it. */
-  async find<T>(path: string, shape: z.ZodType<T>): Promise<T | undefined> {
+  /** Like `fetch`, but resolves with undefined for status 404. */
+  async find<T>(path: string, schema: z.ZodType<T>): Promise<T | undefined> {
     const call = this.#buildCall("GET", path);
     const answer = await sendCall(call);
-    if (answer.status === NOT_FOUND) return undefined;
-    return parseAnswer(call, answer, shape);
+    if (answer.status === STATUS_NOT_FOUND) return undefined;
+    return parseAnswer(call, answer, schema);
   }
 
-  /** Sends an order without a body. */
-  async send<T>(path: string, shape: z.ZodType<T>): Promise<T> {
-    return await this.#send(this.#buildCall("POST", path), shape);
+  /** Sends a POST request without a body. */
+  async send<T>(path: string, schema: z.ZodType<T>): Promise<T> {
+    return await this.#send(this.#buildCall("POST", path), schema);
   }
 
-  async #send<T>(call: HttpCall, shape: z.ZodType<T>): Promise<T> {
-    return parseAnswer(call, await sendCall(call), shape);
+  async #send<T>(call: HttpCall, schema: z.ZodType<T>): Promise<T> {
+    return parseAnswer(call, await sendCall(call), schema);
   }
 
   #buildCall(method: string, path: string): HttpCall {
@@ -64,7 +67,7 @@
       method,
       url: new URL(path, url),
       headers: token === undefined ? {} : { authorization: `Bearer ${token}` },
-      silenceMs: SILENCE_MS,
+      idleTimeoutMs: IDLE_TIMEOUT_MS,
       ...(ca !== undefined && { ca }),
     };
   }
@@ -73,18 +76,19 @@
 function parseAnswer<T>(
   call: HttpCall,
   answer: HttpAnswer,
-  shape: z.ZodType<T>,
+  schema: z.ZodType<T>,
 ): T {
   if (!isSuccess(answer.status)) throw buildRefusedError(call, answer);
-  const result = shape.safeParse(parseJson(answer.body));
+  const result = schema.safeParse(parseJson(answer.body));
   if (result.success) return result.data;
   throw new ToolError(
-    `${call.url.host} gave an answer of another form to ${call.url.pathname}`,
+    `${call.url.host} sent an answer in an unexpected format for ${call.url.pathname}`,
     {
       exitCode: EXIT_UNREACHABLE,
       step: "read_answer",
       peer: call.url.host,
-      hint: "The address may be of another listener, or of another release",
+      hint:
+        "The address may be that of another listener, or the VM may run another release",
     },
   );
 }
--- a/src/version/allowed_regions.ts
+++ b/src/version/allowed_regions.ts
@@ -1,11 +1,12 @@
 /**
- * The regions in which a call may run, where its route or workspace is bound.
+ * The regions in which a call may run, where its route or workspace restricts
+ * them.
  *
  * @module
  */
 import type { Region } from "../ids.ts";
 
-/** Regions in which both may run; undefined where neither is bound. */
+/** Regions that both lists allow; undefined where neither restricts them. */
 export function findCommonRegions(
   left: readonly Region[] | undefined,
   right: readonly Region[] | undefined,
--- a/src/version/changes.ts
+++ b/src/version/changes.ts
@@ -1,5 +1,6 @@
 /**
- * What changes for whom between two accepted configurations.
+ * The differences between two accepted configurations, and the request classes
+ * and workspaces that each of them affects.
  *
  * @module
  */
@@ -11,26 +12,26 @@
 
 /** One field of a record that differs. */
 export interface FieldChange {
-  /** Where in the record, for example `$.targets.firstTokenMs`. */
+  /** Path within the record, for example `$.targets.firstTokenMs`. */
   path: string;
-  /** `undefined` where the field is new. */
+  /** `undefined` if the field was added. */
   before: unknown;
-  /** `undefined` where the field is gone. */
+  /** `undefined` if the field was removed. */
   after: unknown;
 }
 
-/** A record that differs, and whom that affects. */
+/** A record that differs, with the classes and workspaces affected by it. */
 export interface SnapshotChange {
   kind: ConfigRecord["kind"];
   name: string;
   change: "added" | "removed" | "changed";
-  /** Empty for a record that is added or removed. */
+  /** Empty for a record that was added or removed. */
   fields: FieldChange[];
-  /** Request classes that are affected, before or after the change. */
+  /** Request classes that the change affects, in either configuration. */
   classes: ClassName[];
-  /** Workspaces that are affected, before or after the change. */
+  /** Workspaces that the change affects, in either configuration. */
   workspaces: WorkspaceName[];
-  /** The change in a sentence, without any key hash. */
+  /** One-sentence description; contains no key hash. */
   text: string;
 }
 
@@ -39,12 +40,12 @@
   after: ConfigRecord | undefined;
 }
 
-interface Affected {
+interface Impact {
   classes: ClassName[];
   workspaces: WorkspaceName[];
 }
 
-const KIND_TEXTS: Record<ConfigRecord["kind"], string> = {
+const KIND_LABELS: Record<ConfigRecord["kind"], string> = {
   tier: "Tier",
   request_class: "Request class",
   workspace: "Workspace",
@@ -52,7 +53,7 @@
   policy: "Policy",
 };
 
-/** Compares two snapshots record by record; versions are not compared. */
+/** Compares two snapshots record by record; ignores their versions. */
 export function compareSnapshots(
   before: Snapshot,
   after: Snapshot,
@@ -92,12 +93,12 @@
   const fields = change === "changed"
     ? listFieldChanges([], [pair.before, pair.after])
     : [];
-  const { classes, workspaces } = findAffected(pair, snapshots);
-  const head = `${KIND_TEXTS[record.kind]} ${record.name}`;
+  const { classes, workspaces } = findTotalImpact(pair, snapshots);
+  const head = `${KIND_LABELS[record.kind]} ${record.name}`;
   const detail = change === "changed"
     ? `: ${fields.map(formatField).join("; ")}`
     : ` is ${change}`;
-  const reach = formatReach(record, { classes, workspaces });
+  const impact = formatImpact(record, { classes, workspaces });
   return {
     kind: record.kind,
     name: record.name,
@@ -105,7 +106,7 @@
     fields,
     classes,
     workspaces,
-    text: `${head}${detail}. ${reach}.`,
+    text: `${head}${detail}. ${impact}.`,
   };
 }
 
@@ -134,7 +135,8 @@
 
 function formatField({ path, before, after }: FieldChange): string {
   const field = path.slice("$.".length);
-  // Hashes of keys would end in logs and tickets; the counts are enough.
+  // The text may be copied into logs and tickets, which must not contain key
+  // hashes.
   if (field === "keyHashes") return "its keys change";
   return `${field} goes from ${formatValue(before)} to ${formatValue(after)}`;
 }
@@ -144,19 +146,19 @@
 }
 
 /**
- * Whom a record reaches, over both snapshots: a workspace that loses a class
- * is as much affected as one that gains it.
+ * Computes the impact over both snapshots: a workspace that loses a class is
+ * affected as much as one that gains it.
  */
-function findAffected(
+function findTotalImpact(
   pair: RecordPair,
   snapshots: readonly Snapshot[],
-): Affected {
+): Impact {
   const classes = new Set<ClassName>();
   const workspaces = new Set<WorkspaceName>();
   for (const snapshot of snapshots) {
     for (const record of [pair.before, pair.after]) {
       if (!record) continue;
-      const found = findReach(record, snapshot);
+      const found = findImpact(record, snapshot);
       for (const name of found.classes) classes.add(name);
       for (const name of found.workspaces) workspaces.add(name);
     }
@@ -167,31 +169,31 @@
   };
 }
 
-function findReach(record: ConfigRecord, snapshot: Snapshot): Affected {
+function findImpact(record: ConfigRecord, snapshot: Snapshot): Impact {
   return match(record)
-    .with({ kind: "tier" }, (tier) => findTierReach(tier, snapshot))
-    .with({ kind: "request_class" }, (one) => findClassReach([one], snapshot))
+    .with({ kind: "tier" }, (tier) => findTierImpact(tier, snapshot))
+    .with({ kind: "request_class" }, (one) => findClassImpact([one], snapshot))
     .with({ kind: "workspace" }, ({ name, classes }) => ({
       classes,
       workspaces: [name],
     }))
-    .with({ kind: "upstream_pool" }, () => findWholeReach(snapshot))
-    .with({ kind: "policy" }, () => findWholeReach(snapshot))
+    .with({ kind: "upstream_pool" }, () => findFleetImpact(snapshot))
+    .with({ kind: "policy" }, () => findFleetImpact(snapshot))
     .exhaustive();
 }
 
-function findTierReach(tier: Tier, snapshot: Snapshot): Affected {
+function findTierImpact(tier: Tier, snapshot: Snapshot): Impact {
   const classes = [...snapshot.classes.values()];
-  return findClassReach(
+  return findClassImpact(
     classes.filter((requestClass) => requestClass.tier === tier.name),
     snapshot,
   );
 }
 
-function findClassReach(
+function findClassImpact(
   classes: readonly RequestClass[],
   snapshot: Snapshot,
-): Affected {
+): Impact {
   const names = classes.map(({ name }) => name);
   const workspaces = [...snapshot.workspaces.values()].filter((workspace) =>
     workspace.classes.some((name) => names.includes(name))
@@ -200,14 +202,14 @@
 }
 
 /**
- * The reach of the policy and of a pool. The records tie no class to a pool: a
- * caller chooses it by the model or the path.
+ * The impact of the policy or of a pool: every class. Records do not link
+ * classes to pools; a request selects its pool by model or path.
  */
-function findWholeReach(snapshot: Snapshot): Affected {
-  return findClassReach([...snapshot.classes.values()], snapshot);
+function findFleetImpact(snapshot: Snapshot): Impact {
+  return findClassImpact([...snapshot.classes.values()], snapshot);
 }
 
-function formatReach(record: ConfigRecord, affected: Affected): string {
+function formatImpact(record: ConfigRecord, affected: Impact): string {
   const workspaces = affected.workspaces.join(", ") || "no workspace";
   const classes = affected.classes.join(", ") || "no request class";
   return match(record.kind)
--- a/src/version/convert.ts
+++ b/src/version/convert.ts
@@ -1,6 +1,6 @@
 /**
- * From a record as published, in either schema version, to the one shape that
- * the code works with.
+ * Converts published records of either schema version to the types of
+ * records.ts.
  *
  * @module
  */
@@ -23,12 +23,13 @@
   WORKSPACE_V2,
 } from "./schemas.ts";
 
-/** The objective of a class in schema 1, which has no field for it. */
+/** Default objective of a class in schema 1, which has no such field. */
 const V1_OBJECTIVE = 0.95;
 /**
- * Engines of a pool in schema 1, which has no field for it. An engine wrongly
- * taken to check fencing numbers would obey an old owner that wakes late; one
- * wrongly taken to ignore them only gets its orders a lease later.
+ * Default fencing mode of a pool in schema 1, which has no such field.
+ * "ignored" is the safe default: if engines were wrongly assumed to check
+ * fencing numbers, they would obey a previous owner that resumes late. If they
+ * are wrongly assumed to ignore them, commands are only delayed by one lease.
  */
 const V1_FENCING = "ignored";
 
--- a/src/version/cross_checks.ts
+++ b/src/version/cross_checks.ts
@@ -1,5 +1,5 @@
 /**
- * Checks between the records of one set.
+ * Consistency checks across the records of one set.
  *
  * @module
  */
@@ -13,10 +13,13 @@
 } from "./records.ts";
 import { MAX_MIN_SHARE_SUM } from "./schemas.ts";
 
-/** Shares are summed in whole millionths, so that no order rounds apart. */
+/**
+ * Units per share of 1. Shares are summed as integers, since floating-point
+ * sums depend on the order of the records.
+ */
 const SHARE_UNITS = 1_000_000;
 
-/** The records of a set by kind, duplicates still among them. */
+/** The records of a set by kind, including duplicates. */
 export interface RecordsByKind {
   tiers: Tier[];
   classes: RequestClass[];
@@ -25,7 +28,7 @@
   policies: Extract<ConfigRecord, { kind: "policy" }>[];
 }
 
-/** Finds what does not fit together in a set of valid records. */
+/** Finds conflicts between records that are each valid on their own. */
 export function findCrossProblems(records: RecordsByKind): RecordProblem[] {
   return [
     ...findDuplicateNames(records),
@@ -74,7 +77,7 @@
   );
 }
 
-/** Every record that shares a value with another, whatever their order. */
+/** Returns every record that shares a value with another one. */
 function findRepeated<T>(
   records: readonly T[],
   listValues: (record: T) => readonly string[],
@@ -149,7 +152,7 @@
   );
   if (!own.has(workspace.defaultClass)) {
     problems.push(
-      buildProblem(workspace, "$.default_class", "a name out of $.classes"),
+      buildProblem(workspace, "$.default_class", "a name from $.classes"),
     );
   }
   for (const name of Object.keys(workspace.objectives)) {
@@ -157,7 +160,7 @@
     problems.push(buildProblem(
       workspace,
       `$.objectives.${name}`,
-      "a name out of $.classes",
+      "a name from $.classes",
     ));
   }
   return problems;
--- a/src/version/fields.ts
+++ b/src/version/fields.ts
@@ -1,6 +1,6 @@
 /**
- * The fields that the record schemas are made of. Each field's error text says
- * what is expected, and becomes the text of the problem.
+ * Field types of the record schemas. Each field's error text states what is
+ * expected and becomes the `expected` text of a `RecordProblem`.
  *
  * @module
  */
@@ -9,8 +9,8 @@
 import type { AnyId } from "../ids.ts";
 
 /**
- * A day. A timer of more than 2^31 - 1 ms fires at once, which would show as a
- * limit that ends every request; no duration in a record comes near that.
+ * One day. Node.js fires timers of more than 2^31 - 1 ms immediately, so such
+ * a limit would end every request at once; this bound stays well below that.
  */
 const MAX_DURATION_MS = 86_400_000;
 const MAX_COUNT = 1_000_000_000;
@@ -23,8 +23,8 @@
   "a name of 1 to 63 lower-case letters, digits, _ and -, a letter first";
 
 /**
- * A record's name. `constructor` is refused: a look-up of it in a plain object
- * finds a function where the record has no such entry.
+ * A record's name. Names of `Object.prototype` members, such as `constructor`,
+ * are rejected: looking them up in a plain object finds the inherited member.
  */
 export function buildNameField<T extends AnyId>() {
   return z.string({ error: NAME_EXPECTED })
@@ -36,41 +36,41 @@
 const LABEL_EXPECTED =
   "1 to 128 letters, digits and . _ : / -, a letter or digit first";
 
-/** A name from outside, such as a model, an adapter or a model's version. */
+/** An external name, such as that of a model, an adapter or a model version. */
 export function buildLabelField() {
   return z.string({ error: LABEL_EXPECTED })
     .regex(LABEL_PATTERN, { error: LABEL_EXPECTED });
 }
 
-/** A whole number from `min` to `max`. */
+/** An integer from `min` to `max`, inclusive. */
 export function buildCountField(min: number, max = MAX_COUNT) {
   const error = `a whole number from ${min} to ${max}`;
   return z.number({ error }).int({ error }).min(min, { error })
     .max(max, { error });
 }
 
-/** A duration in whole milliseconds, from 1 to a day. */
+/** A duration in whole milliseconds, from 1 ms to one day. */
 export function buildDurationField() {
   const error = `whole milliseconds from 1 to ${MAX_DURATION_MS}`;
   return z.number({ error }).int({ error }).min(1, { error })
     .max(MAX_DURATION_MS, { error });
 }
 
-/** A share above 0 and at most `max`. */
+/** A share greater than 0 and at most `max`. */
 export function buildShareField(max: number) {
   const error = `a number above 0 and at most ${max}`;
   return z.number({ error }).gt(0, { error }).max(max, { error });
 }
 
-/** A share from 0 to 1, both allowed. */
+/** A share from 0 to 1, inclusive. */
 export function buildOptionalShareField() {
   const error = "a number from 0 to 1";
   return z.number({ error }).min(0, { error }).max(1, { error });
 }
 
 /**
- * An objective, above 0 and below 1. At 1 the error budget would be zero, and
- * the burn rate a division by zero.
+ * An objective, greater than 0 and less than 1. An objective of 1 leaves no
+ * error budget, and the burn rate would be a division by zero.
  */
 export function buildObjectiveField() {
   const error = "a number above 0 and below 1";
@@ -83,12 +83,12 @@
   return z.number({ error }).min(0, { error }).max(1_000_000, { error });
 }
 
-/** true or false. */
+/** A boolean. */
 export function buildFlagField() {
   return z.boolean({ error: "true or false" });
 }
 
-/** The SHA-256 of a key. */
+/** The SHA-256 of a key, in lower-case hexadecimal. */
 export function buildKeyHashField() {
   const error = "a SHA-256 as 64 lower-case hexadecimal digits";
   return z.string({ error }).regex(KEY_HASH_PATTERN, { error });
@@ -101,7 +101,7 @@
   return z.enum(options, { error: `one of ${options.join(", ")}` });
 }
 
-/** A list of at least `min` different items. */
+/** A list of at least `min` items without duplicates. */
 export function buildListField<T extends z.ZodType>(item: T, min: number) {
   const error = `a list of ${min} to ${MAX_LIST_LENGTH} different items`;
   return z.array(item, { error }).min(min, { error })
--- a/src/version/index.ts
+++ b/src/version/index.ts
@@ -1,5 +1,6 @@
 /**
- * What lives for one version of the configuration.
+ * The configuration: its records, their validation, and snapshots. Objects of
+ * this folder live as long as one version of the configuration.
  *
  * @module
  */
--- a/src/version/interactive_classes.ts
+++ b/src/version/interactive_classes.ts
@@ -1,6 +1,6 @@
 /**
- * Which request classes are interactive streams: streams whose callers accept
- * the shortest pauses of all that go to the same upstream pool.
+ * Determines which request classes are interactive streams: those with the
+ * shortest inter-token targets among the streams of the same upstream pool.
  *
  * @module
  */
@@ -9,14 +9,15 @@
 import type { Route } from "./routes.ts";
 
 /**
- * A pool's other streams accept pauses so many times as long, or nothing tells
- * its interactive streams apart: targets that differ by less are of one kind.
+ * Inter-token targets that differ by less than this ratio count as equal. A
+ * pool has interactive streams only if its longest target is at least this many
+ * times its shortest.
  */
-const LEAST_RATIO = 1.25;
+const MIN_PAUSE_RATIO = 1.25;
 
 /**
- * The classes of interactive streams; none for pools whose streams are all
- * alike.
+ * Returns the classes of interactive streams; none for pools whose streams all
+ * have similar targets.
  */
 export function findInteractiveClasses(
   routes: readonly Route[],
@@ -26,9 +27,9 @@
   for (const pauses of listPausesByPool(routes, classes).values()) {
     const shortest = Math.min(...pauses.values());
     const longest = Math.max(...pauses.values());
-    if (longest < LEAST_RATIO * shortest) continue;
+    if (longest < MIN_PAUSE_RATIO * shortest) continue;
     for (const [name, pauseMs] of pauses) {
-      if (pauseMs < LEAST_RATIO * shortest) interactive.add(name);
+      if (pauseMs < MIN_PAUSE_RATIO * shortest) interactive.add(name);
     }
   }
   return interactive;
--- a/src/version/membership_list.ts
+++ b/src/version/membership_list.ts
@@ -1,11 +1,12 @@
 /**
- * The published list of live and leaving VMs, which lags behind reality.
+ * The published list of live and leaving VMs. It lags behind the actual state
+ * of the fleet.
  *
  * @module
  */
 import type { DataCentre, PoolName, VmId } from "../ids.ts";
 
-/** One VM as the platform publishes it. */
+/** A VM as published by the platform. */
 export interface ListedVm {
   id: VmId;
   role: "entry" | "upstream";
@@ -13,11 +14,11 @@
   dataCentre: DataCentre;
   /** IP address. */
   address: string;
-  /** The port callers use (entry VM) or the upstream's port. */
+  /** Port for callers (entry VM) or port of the upstream. */
   port: number;
-  /** The port for other entry VMs; 0 for an upstream. */
+  /** Port for other entry VMs; 0 for an upstream. */
   peerPort: number;
-  /** The pool that an upstream serves. */
+  /** Pool that an upstream belongs to. */
   pool: PoolName | undefined;
 }
 
--- a/src/version/membership_schema.ts
+++ b/src/version/membership_schema.ts
@@ -1,5 +1,5 @@
 /**
- * Reading the membership list as the platform publishes it.
+ * Parser of the membership list that the platform publishes.
  *
  * @module
  */
@@ -24,8 +24,8 @@
   .regex(ID_PATTERN, { error: ID_EXPECTED });
 
 /**
- * The platform's document, not ours: fields that it adds are passed over. To
- * refuse them would leave every VM on the last list when the platform changes.
+ * Unknown fields are ignored, since the platform owns this format. Rejecting
+ * them would leave every VM with an outdated list once the platform adds one.
  */
 const VM_SCHEMA = z.object({
   id: ID_FIELD,
@@ -57,8 +57,8 @@
 });
 
 /**
- * Reads a membership list. Throws a `StepError` that names the path and what
- * was expected; VM ids that appear twice are refused.
+ * Parses a membership list. Throws a `StepError` that names the path and the
+ * expected value; duplicate VM ids are rejected.
  */
 export function parseMembershipList(value: unknown): MembershipList {
   const result = LIST_SCHEMA.safeParse(value);
@@ -80,8 +80,8 @@
 }
 
 /**
- * With one id twice, two VMs would each compute another owner from one list,
- * by which of the two entries their look-up finds.
+ * With a duplicate id, two VMs could compute different shard owners from the
+ * same list, depending on which of the two entries their look-up finds.
  */
 function checkIds(vms: readonly { id: string }[]): void {
   const seen = new Set<string>();
--- a/src/version/parse_record.ts
+++ b/src/version/parse_record.ts
@@ -1,5 +1,5 @@
 /**
- * Reading one published record, whatever its kind and schema version.
+ * Parser of a single published record of any kind and schema version.
  *
  * @module
  */
@@ -27,9 +27,9 @@
 import { findBoundProblem } from "./value_bounds.ts";
 
 const MAX_SHOWN_NAME_LENGTH = 63;
-const NO_SUCH_FIELD = "no field of this name";
+const NO_SUCH_FIELD = "no field with this name";
 
-/** A record in the shape of the code, or what is wrong with it. */
+/** A converted record, or the problems that it was rejected for. */
 export type ParsedRecord =
   | { kind: "valid"; record: ConfigRecord }
   | { kind: "invalid"; problems: RecordProblem[] };
@@ -55,7 +55,10 @@
 
 const KINDS_EXPECTED = `one of ${[...READERS.keys()].join(", ")}`;
 
-/** Checks one record by itself and converts it; never throws. */
+/**
+ * Validates one record independently of all others and converts it; never
+ * throws.
+ */
 export function parseRecord(value: unknown): ParsedRecord {
   const bound = findBoundProblem(value);
   if (bound) return buildInvalid([toProblem(value, bound)]);
--- a/src/version/priority_ranks.ts
+++ b/src/version/priority_ranks.ts
@@ -1,22 +1,23 @@
 /**
- * One order of urgency from the priorities of routes and workspaces.
+ * Combines the priorities of routes and workspaces into the priority levels of
+ * the engines.
  *
- * A route's priority goes first, and between calls on routes alike the
- * workspace's decides. With the workspace's first, or alone, engines preempt
- * short urgent streams for long documents that are not urgent, seen as streams
- * that stop in their midst: most workspaces share one priority.
+ * The route's priority is compared first; the workspace's breaks ties. Most
+ * workspaces share one priority: if it came first or were used alone, engines
+ * would preempt short urgent streams in favour of long documents that are not
+ * urgent, and the streams would stop midway.
  *
  * @module
  */
 import type { Workspace } from "./records.ts";
 import type { Route } from "./routes.ts";
 
-/** Engines tell apart so many levels; 0 is the most urgent. */
-const LEVELS = 10;
-/** Workspaces without a priority come after those with one. */
+/** Priority levels that engines distinguish; 0 is the most urgent. */
+const PRIORITY_LEVELS = 10;
+/** Ranks workspaces without a priority after those with one. */
 const NO_PRIORITY = Number.MAX_SAFE_INTEGER;
 
-/** Levels by the pair of priorities. */
+/** Priority levels by route and workspace; 0 is the most urgent. */
 export class PriorityRanks {
   readonly #workspaces: number[];
   readonly #routes: number[];
@@ -30,34 +31,40 @@
     workspaces: Iterable<Workspace>,
     routes: Iterable<Route>,
   ): PriorityRanks {
-    const own = [...workspaces].map(({ priority }) => priority ?? NO_PRIORITY);
+    const priorities = [...workspaces].map(({ priority }) =>
+      priority ?? NO_PRIORITY
+    );
     return new PriorityRanks(
-      listDistinct([...own, NO_PRIORITY]),
+      listDistinct([...priorities, NO_PRIORITY]),
       listDistinct([...routes].map(({ priority }) => priority)),
     );
   }
 
-  /** The level of a workspace's calls on a route. */
+  /** Priority level of a workspace's calls on a route. */
   getRank(workspace: Workspace, route: Route): number {
-    const own = this.#workspaces.indexOf(workspace.priority ?? NO_PRIORITY);
-    return this.#computeLevel(route, own);
+    const position = this.#workspaces.indexOf(
+      workspace.priority ?? NO_PRIORITY,
+    );
+    return this.#computeLevel(route, position);
   }
 
   /**
-   * The level of calls on a route that can not be in time any more: behind all
-   * others of the route, and before those of the next one, so that nothing less
-   * urgent goes before them.
+   * Priority level of calls on a route that can no longer meet their target:
+   * after all other calls of the route but before those of the next route, so
+   * that less urgent calls do not overtake them.
    */
   getLateRank(route: Route): number {
     return this.#computeLevel(route, this.#workspaces.length);
   }
 
-  #computeLevel(route: Route, placeOnRoute: number): number {
-    const placesOnRoute = this.#workspaces.length + 1;
-    const routed = this.#routes.indexOf(route.priority);
-    const place = routed * placesOnRoute + placeOnRoute;
-    const places = this.#routes.length * placesOnRoute;
-    return places <= LEVELS ? place : Math.floor(place * LEVELS / places);
+  #computeLevel(route: Route, positionInRoute: number): number {
+    const positionsPerRoute = this.#workspaces.length + 1;
+    const routeIndex = this.#routes.indexOf(route.priority);
+    const position = routeIndex * positionsPerRoute + positionInRoute;
+    const positions = this.#routes.length * positionsPerRoute;
+    return positions <= PRIORITY_LEVELS
+      ? position
+      : Math.floor(position * PRIORITY_LEVELS / positions);
   }
 }
 
--- a/src/version/published_configuration.ts
+++ b/src/version/published_configuration.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration in the form in which VMs hand it on: plain records that were
- * checked where they were read.
+ * The form in which VMs forward a configuration to each other: plain records,
+ * already validated by the VM that read them.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import { buildCheckedSnapshot } from "./snapshot_maps.ts";
 import { findInteractiveClasses } from "./interactive_classes.ts";
 
-/** One version of the configuration, as plain data. */
+/** One version of the configuration as plain data. */
 export interface PublishedConfiguration {
   version: number;
   records: ConfigRecord[];
@@ -23,7 +23,7 @@
   callerBounds: CallerBounds;
 }
 
-/** Builds the maps that requests look things up in. */
+/** Builds the routed snapshot that requests are served from. */
 export function buildRoutedSnapshot(
   published: PublishedConfiguration,
 ): RoutedSnapshot {
--- a/src/version/record_directory.ts
+++ b/src/version/record_directory.ts
@@ -1,6 +1,7 @@
 /**
- * A directory of JSON files in place of the configuration service:
- * `index.json`, `groups/NAME/VERSION.json` and `membership.json`.
+ * Reads the configuration from a directory of JSON files instead of the
+ * configuration service: `index.json`, `groups/NAME/VERSION.json` and
+ * `membership.json`.
  *
  * @module
  */
@@ -13,7 +14,7 @@
 
 const STEP = "read_record_directory";
 
-/** What a record directory holds; the records are not validated yet. */
+/** Contents of a record directory; the records are not validated yet. */
 export interface RecordDirectory {
   version: number;
   records: unknown[];
@@ -22,7 +23,7 @@
 
 /**
  * Reads the record directory at `path`. Throws a `StepError` that names the
- * file when one is missing, too large, no JSON or of another shape.
+ * file if one is missing, too large, not JSON or of an unexpected structure.
  */
 export async function readRecordDirectory(
   path: string,
--- a/src/version/record_groups.ts
+++ b/src/version/record_groups.ts
@@ -1,5 +1,5 @@
 /**
- * The values that the configuration service holds: an index, and groups of
+ * The values stored in the configuration service: an index, and groups of
  * records of less than a megabyte each.
  *
  * @module
@@ -9,15 +9,17 @@
 import { compareStrings, formatPath } from "./record_problem.ts";
 import { findBoundProblem } from "./value_bounds.ts";
 
-/** The service's bound on one value, in bytes. */
+/** Maximum size of one value in the configuration service. */
 export const MAX_GROUP_BYTES = 1_000_000;
 
 const MAX_GROUPS = 10_000;
-/** Group names stand in paths: no dot and no slash may be in them. */
+/**
+ * Group names are used in file and URL paths, so dots and slashes are invalid.
+ */
 const GROUP_NAME_PATTERN = /^[a-z][a-z0-9_-]{0,62}$/;
 const GROUP_WRAPPER_BYTES = '{"records":[]}'.length;
 
-const VALUE_TEXTS = { index: "Index value", group: "Group value" };
+const VALUE_LABELS = { index: "Index value", group: "Group value" };
 
 const VERSION_EXPECTED = "a whole number of at least 1";
 const NAME_EXPECTED = "group names of 1 to 63 lower-case letters, digits, _, -";
@@ -36,14 +38,14 @@
         code === "invalid_key" ? NAME_EXPECTED : GROUPS_EXPECTED,
     },
   ),
-}, { error: "an object of version and groups alone" });
+}, { error: "an object with only version and groups" });
 
 const GROUP_SCHEMA = z.strictObject(
   { records: z.array(z.unknown(), { error: "a list of records" }) },
-  { error: "an object of records alone" },
+  { error: "an object with only records" },
 );
 
-/** Which version of each group makes up a version of the configuration. */
+/** Maps a version of the configuration to the versions of its groups. */
 export interface RecordIndex {
   version: number;
   groups: ReadonlyMap<string, number>;
@@ -56,11 +58,11 @@
 }
 
 /**
- * Reads an index value; throws a `StepError` that names the path.
+ * Parses an index value; throws a `StepError` that names the path.
  *
- * The bounds are checked first, because zod passes over an entry named
- * `__proto__`: the index would be accepted with a group missing, which would
- * show as workspaces that are suddenly unknown.
+ * The bounds are checked first because zod ignores an entry named `__proto__`:
+ * the index would be accepted with a group missing, and the workspaces of that
+ * group would become unknown.
  */
 export function parseIndex(value: unknown): RecordIndex {
   const bound = findBoundProblem(value);
@@ -83,7 +85,7 @@
   return { version: result.data.version, groups: new Map(entries) };
 }
 
-/** Reads a group value; throws a `StepError` that names the path. */
+/** Parses a group value; throws a `StepError` that names the path. */
 export function parseGroup(value: unknown): unknown[] {
   const result = GROUP_SCHEMA.safeParse(value);
   if (!result.success) throw toStepError("group", result.error);
@@ -91,8 +93,8 @@
 }
 
 /**
- * Packs `records` by kind into groups whose JSON stays within `maxBytes`.
- * Throws a `StepError` when one record alone is larger.
+ * Packs `records` by kind into groups whose JSON is at most `maxBytes` long.
+ * Throws a `StepError` if a single record is larger.
  */
 export function buildRecordGroups(
   records: readonly unknown[],
@@ -115,7 +117,7 @@
   { kind, maxBytes }: { kind: string; maxBytes: number },
 ): RecordGroup[] {
   const groups: RecordGroup[] = [];
-  let room = 0;
+  let freeBytes = 0;
   for (const record of records) {
     const bytes = Buffer.byteLength(JSON.stringify(record)) + 1;
     if (bytes + GROUP_WRAPPER_BYTES > maxBytes) {
@@ -124,12 +126,12 @@
         `Expected records of less than ${maxBytes} bytes, not ${bytes}`,
       );
     }
-    if (bytes > room) {
+    if (bytes > freeBytes) {
       groups.push({ name: `${kind}-${groups.length}`, records: [] });
-      room = maxBytes - GROUP_WRAPPER_BYTES;
+      freeBytes = maxBytes - GROUP_WRAPPER_BYTES;
     }
     groups.at(-1)?.records.push(record);
-    room -= bytes;
+    freeBytes -= bytes;
   }
   return groups;
 }
@@ -145,6 +147,6 @@
   const path = formatPath(issue?.path ?? []);
   return new StepError(
     { step: `read_${value}` },
-    `${VALUE_TEXTS[value]}: ${path}: expected ${issue?.message}`,
+    `${VALUE_LABELS[value]}: ${path}: expected ${issue?.message}`,
   );
 }
--- a/src/version/record_problem.ts
+++ b/src/version/record_problem.ts
@@ -1,22 +1,22 @@
 /**
- * What is wrong with a record, in terms that its writer can act on.
+ * Validation problems of records, worded for the author of the records.
  *
  * @module
  */
 
-/** One reason why a set of records is refused. */
+/** One reason why a set of records is rejected. */
 export interface RecordProblem {
-  /** The record's kind, when it could be read. */
+  /** The record's kind, if it could be read. */
   kind: string | undefined;
-  /** The record's name, when it could be read. */
+  /** The record's name, if it could be read. */
   name: string | undefined;
-  /** Where in the record, for example `$.limits.requests_per_minute`. */
+  /** Path within the record, for example `$.limits.requests_per_minute`. */
   path: string;
-  /** What should stand there. */
+  /** Description of the valid values. */
   expected: string;
 }
 
-/** Writes `problem` as one line of text. */
+/** Formats `problem` as one line of text. */
 export function formatProblem(problem: RecordProblem): string {
   const kind = problem.kind ?? "record of unknown kind";
   const name = problem.name ?? "(no readable name)";
@@ -24,15 +24,15 @@
 }
 
 /**
- * Orders texts by UTF-16 code unit. A locale's order would depend on the VM's
- * environment, and two VMs could then report one version differently.
+ * Compares strings by UTF-16 code unit. A locale's order would depend on the
+ * VM's environment, and two VMs could report the same version differently.
  */
 export function compareStrings(left: string, right: string): number {
   if (left === right) return 0;
   return left < right ? -1 : 1;
 }
 
-/** Orders problems by their text, so that the records' order is not seen. */
+/** Compares problems by text, so that reports do not depend on record order. */
 export function compareProblems(
   left: RecordProblem,
   right: RecordProblem,
@@ -40,7 +40,7 @@
   return compareStrings(formatProblem(left), formatProblem(right));
 }
 
-/** Writes the keys that lead to a value as a JSON path. */
+/** Formats the keys that lead to a value as a JSON path. */
 export function formatPath(keys: readonly PropertyKey[]): string {
   const steps = keys.map((key) =>
     typeof key === "number" ? `[${key}]` : `.${String(key)}`
--- a/src/version/records.ts
+++ b/src/version/records.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration records in the one shape that the code works with,
- * whatever schema version they were written in.
+ * The configuration records as used internally, independent of the schema
+ * version that they were published in.
  *
  * @module
  */
@@ -22,7 +22,7 @@
   maxSlotShare: number;
 }
 
-/** A class of requests with its latency targets and its promises. */
+/** A class of requests with its latency targets and guarantees. */
 export interface RequestClass {
   kind: "request_class";
   name: ClassName;
@@ -34,62 +34,68 @@
     totalMs: number;
   };
   /**
-   * Callers leave a stream that is silent for so long, in milliseconds;
-   * undefined where nothing is known of it.
+   * Client timeout: silence on a stream after which callers disconnect;
+   * undefined if unknown.
    */
   patienceMs?: number | undefined;
-  /** Whether an answer past its target is still worth having. */
+  /** Whether an answer that misses its target is still useful. */
   lateIsUseful: boolean;
   idempotent: boolean;
-  /** The least share of slot time that the class gets while it waits. */
+  /** Minimum share of slot time that the class gets while requests wait. */
   minShare: number;
-  /** The stated bound on the wait of the request at the head of the class. */
+  /** Maximum wait of the request at the head of the class's queue. */
   maxWaitMs: number;
-  /** Requests of the class that may wait in one shard. */
+  /** Maximum number of the class's requests that wait in one shard. */
   queueLimit: number;
-  /** A cap on generated tokens, and the cold-start guess of the length. */
+  /**
+   * Limit on generated tokens; also the length estimate until output lengths
+   * have been observed.
+   */
   maxOutputTokens: number;
   /** Share of requests that should meet their targets, for example 0.95. */
   objective: number;
 }
 
-/** A customer of the operator, with its keys and limits. */
+/** A customer of the operator, with its API keys and limits. */
 export interface Workspace {
   kind: "workspace";
   name: WorkspaceName;
   /** SHA-256 of each valid key, in hexadecimal. */
   keyHashes: string[];
   defaultClass: ClassName;
-  /** The classes that the workspace may ask for. */
+  /** Classes that the workspace may request. */
   classes: ClassName[];
-  /** Its share against other workspaces of a class. */
+  /** Fair-share weight relative to other workspaces of a class. */
   weight: number;
   limits: {
     requestsPerMinute: number;
     tokensPerMinute: number;
   };
-  /** Objectives that replace those of a class, for this workspace. */
+  /** Objectives by class name that override those of the classes. */
   objectives: Record<string, number>;
-  /** Goes before the priority of a route; 0 is the most urgent. */
+  /**
+   * Orders calls on routes of equal priority; 0 is the most urgent. Undefined
+   * ranks last.
+   */
   priority?: number;
-  /** Upstreams elsewhere must not get its calls; undefined for any. */
+  /** Regions whose upstreams may get its calls; undefined for any. */
   allowedRegions?: Region[] | undefined;
 }
 
-/** A model that a pool should hold. */
+/** A model that a pool should serve. */
 export interface PoolModel {
   model: ModelName;
   version: string;
   adapters: string[];
-  /** Replicas that should hold it. */
+  /** Number of replicas that should have it loaded. */
   replicas: number;
 }
 
-/** What a replica bears while it warms up after its start. */
+/** Load limit of a replica while it warms up after its start. */
 export interface WarmUp {
-  /** Milliseconds from its start. */
+  /** Duration of the warm-up from the replica's start, in milliseconds. */
   ms: number;
-  /** Requests that it can be sent in a second. */
+  /** Maximum request rate during the warm-up. */
   requestsPerS: number;
 }
 
@@ -103,23 +109,23 @@
   /** Shards of the pool, each with one owner; at most 32 upstreams each. */
   shards: number;
   slots: {
-    /** Slots that an upstream gets before anything is known of it. */
+    /** Slots of an upstream whose capacity has not been measured yet. */
     initial: number;
     min: number;
     max: number;
   };
-  /** The role that the engines should have; undefined leaves it to them. */
+  /** Role that the engines should take; undefined lets each engine choose. */
   role?: string | undefined;
-  /** Whether the engines refuse an order with an old fencing number. */
+  /** Whether the engines reject commands with an outdated fencing number. */
   fencing: "checked" | "ignored";
   timeouts: {
     firstByteMs: number;
     betweenBytesMs: number;
     totalMs: number;
   };
-  /** For a plain service: the class of its calls when none is named. */
+  /** For a plain service: class of calls that name none. */
   defaultClass: ClassName | undefined;
-  /** Undefined where replicas bear their full load at once. */
+  /** Undefined if replicas sustain their full load immediately. */
   warmUp?: WarmUp | undefined;
 }
 
@@ -132,11 +138,11 @@
     goodput: number;
     attainment: number;
   };
-  /** Retries allowed as a share of first tries, for example 0.1. */
+  /** Retries allowed as a share of first attempts, for example 0.1. */
   retryShare: number;
   /** Whether running idempotent work may be preempted and resumed. */
   preemption: boolean;
-  /** Orders a minute that the weight store bears from the whole fleet. */
+  /** Model loads per minute that the weight store sustains for the fleet. */
   weightStoreOrdersPerMinute: number;
 }
 
@@ -148,22 +154,25 @@
   | UpstreamPool
   | Policy;
 
-/** One whole accepted configuration; never changed after it is built. */
+/** One accepted configuration; immutable. */
 export interface Snapshot {
-  /** Orders snapshots: the higher wins, everywhere. */
+  /** Orders snapshots: every VM prefers the highest version. */
   version: number;
   tiers: ReadonlyMap<TierName, Tier>;
   classes: ReadonlyMap<ClassName, RequestClass>;
   workspaces: ReadonlyMap<WorkspaceName, Workspace>;
   pools: ReadonlyMap<PoolName, UpstreamPool>;
   policy: Policy;
-  /** From a key's SHA-256 in hexadecimal to its workspace. */
+  /** Workspaces by the hexadecimal SHA-256 of their keys. */
   workspaceByKeyHash: ReadonlyMap<string, Workspace>;
-  /** From a model to the pools that should hold it. */
+  /** Pools by the models that they should serve. */
   poolsByModel: ReadonlyMap<ModelName, UpstreamPool[]>;
 }
 
-/** The rank of a class's tier; lower ranks go first. */
+/**
+ * Returns the rank of a class's tier, where lower ranks are served first; the
+ * largest safe integer for an unknown class or tier.
+ */
 export function getClassRank(snapshot: Snapshot, name: ClassName): number {
   const requestClass = snapshot.classes.get(name);
   const tier = requestClass && snapshot.tiers.get(requestClass.tier);
--- a/src/version/routes.ts
+++ b/src/version/routes.ts
@@ -1,5 +1,5 @@
 /**
- * Routes: which pool a caller's call goes to, chosen by host and path.
+ * Routes, which map calls to upstream pools by host and path.
  *
  * @module
  */
@@ -7,25 +7,25 @@
 import type { PriorityRanks } from "./priority_ranks.ts";
 import type { Snapshot } from "./records.ts";
 
-/** What may be done with a call more than once. */
+/** Whether a call is a stream, and whether it may run more than once. */
 export type RouteKind =
-  /** A plain call that may run more than once. */
+  /** A non-streaming call that may run more than once. */
   | "idempotent_call"
-  /** A plain call that may run once at most. */
+  /** A non-streaming call that may run at most once. */
   | "single_call"
-  /** A stream of events that may run once at most. */
+  /** An event stream that may run at most once. */
   | "single_stream"
-  /** A stream of events that another replica can go on with. */
+  /** An event stream that another replica can resume. */
   | "resumable_stream";
 
-/** One of the pools that share a route's calls. */
+/** One of the pools that a route's calls are distributed to. */
 export interface RouteTarget {
   pool: PoolName;
-  /** Its share of the route's calls against the other targets' weights. */
+  /** Share of the route's calls relative to the weights of other targets. */
   weight: number;
 }
 
-/** Calls of one host whose paths begin alike. */
+/** Configuration of the calls to one host and path prefix. */
 export interface Route {
   name: RouteName;
   /** Lower case, without a port. */
@@ -33,20 +33,20 @@
   /** Begins and ends with a slash. */
   pathPrefix: string;
   kind: RouteKind;
-  /** The class whose targets and promises the calls have. */
+  /** Class whose latency targets and guarantees apply to the calls. */
   className: ClassName;
   targets: RouteTarget[];
-  /** Replicas that one call may be sent to. */
+  /** Maximum number of replicas that one call may be sent to. */
   maxSends: number;
-  /** Whether callers need no key. */
+  /** Whether callers need no API key. */
   isPublic: boolean;
-  /** 0 is the most urgent; a workspace's own priority goes before it. */
+  /** 0 is the most urgent; the workspace's priority breaks ties. */
   priority: number;
-  /** Upstreams elsewhere must not get its calls; undefined for any. */
+  /** Regions whose upstreams may get its calls; undefined for any. */
   allowedRegions?: Region[] | undefined;
 }
 
-/** What a caller may send, and how long it may take; times in milliseconds. */
+/** Limits on callers' requests and connections; times in milliseconds. */
 export interface CallerBounds {
   maxHeaderBytes: number;
   maxBodyBytes: number;
@@ -58,24 +58,24 @@
 export interface RoutedSnapshot extends Snapshot {
   routes: RouteTable;
   ranks: PriorityRanks;
-  /** Classes whose streams accept the shortest pauses of their pool. */
+  /** Classes with the shortest inter-token targets of their pool. */
   interactiveClasses: ReadonlySet<ClassName>;
   callerBounds: CallerBounds;
 }
 
-/** Finds routes; never changed after it is built. */
+/** Look-up of routes; immutable. */
 export class RouteTable {
-  /** By host, the longest prefix first. */
+  /** Routes by host, the longest prefix first. */
   readonly #byHost = new Map<string, Route[]>();
 
   constructor(routes: readonly Route[]) {
     for (const route of routes) {
-      const known = this.#byHost.get(route.host) ?? [];
-      known.push(route);
-      this.#byHost.set(route.host, known);
+      const routesOfHost = this.#byHost.get(route.host) ?? [];
+      routesOfHost.push(route);
+      this.#byHost.set(route.host, routesOfHost);
     }
-    for (const known of this.#byHost.values()) {
-      known.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+    for (const routesOfHost of this.#byHost.values()) {
+      routesOfHost.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
     }
   }
 
@@ -83,31 +83,31 @@
     return new RouteTable(routes);
   }
 
-  /** The route with the longest prefix that begins `path`. */
+  /** Finds the route with the longest prefix of `path`. */
   findRoute(host: string, path: string): Route | undefined {
     return this.#byHost.get(host)
       ?.find((route) => path.startsWith(route.pathPrefix));
   }
 }
 
-/** Whether a route's calls may run more than once. */
+/** Whether calls of a route may run more than once. */
 export function isRepeatable(kind: RouteKind): boolean {
   return kind === "idempotent_call" || kind === "resumable_stream";
 }
 
 /**
- * Chooses one of a route's targets in proportion to their weights; `draw` is
- * in [0, 1).
+ * Chooses one of a route's targets at random, weighted; `draw` is a random
+ * number in [0, 1).
  */
 export function chooseTarget(
   targets: readonly RouteTarget[],
   draw: number,
 ): RouteTarget | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = draw * total;
+  let remaining = draw * total;
   for (const target of targets) {
-    left -= target.weight;
-    if (left < 0) return target;
+    remaining -= target.weight;
+    if (remaining < 0) return target;
   }
   return targets.at(-1);
 }
--- a/src/version/schemas.ts
+++ b/src/version/schemas.ts
@@ -1,6 +1,6 @@
 /**
- * The schemas of the records as they are published, version 1 (flat) beside
- * version 2 (nested, with more fields). docs/RECORDS.md describes each field.
+ * Schemas of the published records: version 1 (flat) and version 2 (nested,
+ * with more fields). docs/RECORDS.md describes each field.
  *
  * @module
  */
@@ -27,7 +27,7 @@
   buildWeightField,
 } from "./fields.ts";
 
-/** All classes together may claim at most this share of slot time. */
+/** Maximum share of slot time that all classes together may reserve. */
 export const MAX_MIN_SHARE_SUM = 0.5;
 
 const MAX_RANK = 99;
@@ -142,11 +142,15 @@
   const isModel = pool.type === "model";
   for (const field of ["model", "model_version", "replicas"] as const) {
     if ((pool[field] !== undefined) === isModel) continue;
-    const message = isModel ? "a value, for a model pool" : NO_MODEL;
+    const message = isModel ? "a value, for a model pool" : NO_MODEL_EXPECTED;
     context.addIssue({ code: "custom", path: [field], message });
   }
   if (!isModel && pool.adapters.length > 0) {
-    context.addIssue({ code: "custom", path: ["adapters"], message: NO_MODEL });
+    context.addIssue({
+      code: "custom",
+      path: ["adapters"],
+      message: NO_MODEL_EXPECTED,
+    });
   }
   checkSlots(
     {
@@ -164,7 +168,7 @@
   );
 });
 
-const NO_MODEL = "nothing, for a service pool";
+const NO_MODEL_EXPECTED = "nothing, for a service pool";
 
 const MODELS_FIELD = buildListField(
   z.strictObject({
@@ -194,11 +198,17 @@
   }, { error: "an object of timeouts" }),
 }).superRefine((pool, context) => {
   if ((pool.models.length > 0) !== (pool.type === "model")) {
-    const message = pool.type === "model" ? "at least one model" : NO_MODEL;
+    const message = pool.type === "model"
+      ? "at least one model"
+      : NO_MODEL_EXPECTED;
     context.addIssue({ code: "custom", path: ["models"], message });
   }
   if (pool.role !== undefined && pool.type === "service") {
-    context.addIssue({ code: "custom", path: ["role"], message: NO_MODEL });
+    context.addIssue({
+      code: "custom",
+      path: ["role"],
+      message: NO_MODEL_EXPECTED,
+    });
   }
   checkModelVersions(
     pool.models,
@@ -256,9 +266,10 @@
 }
 
 /**
- * A call without a class would fall to the workspace's default class. Where
- * that one is idempotent, a call that may not be repeated would be retried: a
- * second slot held for one vehicle. So a service pool names the class itself.
+ * Requires a default class for service pools. Otherwise a call without a class
+ * would get the default class of its workspace. If that class is idempotent, a
+ * call that must not be repeated would be retried and could, for example, book
+ * a second slot for the same vehicle.
  */
 function checkDefaultClass(
   pool: { type: "model" | "service"; default_class?: ClassName | undefined },
