--- a/src/version/snapshot.ts
+++ b/src/version/snapshot.ts
@@ -1,5 +1,6 @@
 /**
- * From published records to one accepted snapshot, or to the reasons against.
+ * Builds a snapshot from published records, or the problems that they are
+ * rejected for.
  *
  * @module
  */
@@ -12,7 +13,7 @@
 
 const MAX_RECORDS = 100_000;
 
-/** Whether a version of the records is accepted. */
+/** Result of validating one version of the records. */
 export type SnapshotResult =
   | { kind: "accepted"; snapshot: Snapshot }
   | { kind: "rejected"; version: number; problems: RecordProblem[] };
@@ -20,16 +21,16 @@
 /**
  * Validates `records` and builds their snapshot; never throws.
  *
- * The result depends on the version and the set of records alone: never on a
- * clock, the environment, what was accepted before or the records' order. A
- * VM that decided otherwise would keep an older version that the others have
- * left, which would show as one request treated differently by two VMs.
+ * The result depends only on the version and the set of records, not on a
+ * clock, the environment, previously accepted versions or the order of the
+ * records. Otherwise one VM could reject a version that the others accept, and
+ * two VMs would treat the same request differently.
  *
- * `parse` may keep the results of `parseRecord` for records seen before.
+ * `parse` may cache results of `parseRecord`.
  *
- * Records are checked one by one first, and against each other only when each
- * is valid by itself: a reference to a record that could not be read would
- * otherwise be reported as unknown too.
+ * Records are validated individually first, and checked against each other only
+ * if each one is valid. Otherwise a reference to an invalid record would also
+ * be reported as a reference to an unknown one.
  */
 export function buildSnapshot(
   version: number,
@@ -54,9 +55,9 @@
 }
 
 /**
- * An index that names no group by mistake must not leave the fleet without
- * classes and keys: every request would be refused within seconds, everywhere.
- * So an empty set is refused, and the last good version stays.
+ * Checks the number of records. An empty set is rejected, so that the last good
+ * version stays in use: an index that names no groups by mistake would remove
+ * all classes and keys, and every VM would refuse all requests within seconds.
  */
 function findCountProblem(
   records: readonly unknown[],
--- a/src/version/snapshot_maps.ts
+++ b/src/version/snapshot_maps.ts
@@ -1,5 +1,5 @@
 /**
- * The maps of a snapshot, built from records that are known to be valid.
+ * Builds the look-up maps of a snapshot from validated records.
  *
  * @module
  */
@@ -15,7 +15,7 @@
   Workspace,
 } from "./records.ts";
 
-/** The policy where the records hold none. */
+/** Policy used if the records contain none. */
 export const DEFAULT_POLICY: Policy = {
   kind: "policy",
   name: "default",
@@ -25,7 +25,7 @@
   weightStoreOrdersPerMinute: 6,
 };
 
-/** Builds a snapshot from records that were checked before. */
+/** Builds a snapshot from records that were validated before. */
 export function buildCheckedSnapshot(
   version: number,
   records: readonly ConfigRecord[],
@@ -33,7 +33,7 @@
   return buildMaps(version, collectByKind([...records]));
 }
 
-/** Sorts records by name and kind. */
+/** Groups records by kind and sorts each group by name. */
 export function collectByKind(records: ConfigRecord[]): RecordsByKind {
   const byKind: RecordsByKind = {
     tiers: [],
@@ -55,7 +55,7 @@
   return byKind;
 }
 
-/** Builds the maps that requests look things up in. */
+/** Builds the maps that requests are resolved with. */
 export function buildMaps(version: number, records: RecordsByKind): Snapshot {
   return {
     version,
--- a/src/version/value_bounds.ts
+++ b/src/version/value_bounds.ts
@@ -1,5 +1,5 @@
 /**
- * Bounds on a JSON value, checked before anything recursive touches it.
+ * Bounds on a JSON value, checked before any recursive code processes it.
  *
  * @module
  */
@@ -9,7 +9,7 @@
 const MAX_TEXT_LENGTH = 4_096;
 const FORBIDDEN_KEY = "__proto__";
 
-/** A value that breaks a bound: where, and what the bound is. */
+/** A violated bound: the keys that lead to the value, and the bound. */
 export interface BoundProblem {
   keys: PropertyKey[];
   expected: string;
@@ -21,12 +21,12 @@
 }
 
 /**
- * Finds the first bound that `value` breaks, walking without recursion.
+ * Finds the first bound that `value` violates, without recursion.
  *
- * A record nested some thousand levels deep overflows the stack of a recursive
- * check, which would show as a RangeError on the VMs with the smaller stacks:
- * one version accepted here and refused there. This walk stops at a fixed depth
- * and number of values, which are alike everywhere.
+ * A recursive check of a record nested thousands of levels deep would overflow
+ * the stack with a RangeError, but only on VMs with smaller stacks, so VMs
+ * would disagree on whether a version is valid. This traversal stops at a fixed
+ * depth and number of values, which are the same on every VM.
  */
 export function findBoundProblem(value: unknown): BoundProblem | undefined {
   const pending: Visit[] = [{ value, keys: [] }];
@@ -48,9 +48,9 @@
   if (typeof value === "string" && value.length > MAX_TEXT_LENGTH) {
     return `a text of at most ${MAX_TEXT_LENGTH} characters`;
   }
-  // `JSON.parse` makes an own key of `__proto__`, and a later copy by
-  // assignment would change the copy's prototype: fields that the record does
-  // not have would then seem to be there.
+  // `JSON.parse` creates an own property named `__proto__`. Copying it by
+  // assignment would set the prototype of the copy, which would then inherit
+  // fields that the record does not have.
   if (isObject(value) && Object.hasOwn(value, FORBIDDEN_KEY)) {
     return `no field named ${FORBIDDEN_KEY}`;
   }
--- a/test/tool/burn/burn_command_test.ts
+++ b/test/tool/burn/burn_command_test.ts
@@ -13,7 +13,7 @@
   ExampleVm,
 } from "../../support/burn_examples.ts";
 import { FakeVm } from "../fake_vm.ts";
-import { runWords } from "../recording_terminal.ts";
+import { runCommand } from "../recording_terminal.ts";
 
 const started: FakeVm[] = [];
 let folder: string;
@@ -80,7 +80,7 @@
 
 describe("burn", () => {
   test("shows burn rates, causes and missing VMs", async () => {
-    const { output, exitCode } = await runWords(await startBurn());
+    const { output, exitCode } = await runCommand(await startBurn());
     expect(output).toContain("Not reached: entry-2 (No answer).");
     expect(output).toMatch(
       /^chat +\(all\) +95\.0% +100 +10( +2\.0){5} +-100\.0% /m,
@@ -91,7 +91,7 @@
     expect(exitCode).toBe(0);
   });
 
-  test("names the budgets that burn, and where they went", async () => {
+  test("lists burning budgets and their causes by property", async () => {
     const vms = ["entry-1", "entry-3"].map((vm, index) =>
       ExampleVm.create({ vm, incarnation: "i1", seed: index + 1 })
     );
@@ -99,11 +99,11 @@
       await vm.runMinutes(70);
       await vm.runMinutes(30, { isFailing: true });
     }
-    const words = await startBurn({
+    const args = await startBurn({
       vms: vms.map(buildVmAnswer),
       objectives: buildObjectives({ chat: { garages: 0.999 } }),
     });
-    const { output } = await runWords(words);
+    const { output } = await runCommand(args);
     expect(output).toMatch(
       /^chat of garages burns its budget fast: [\d.]+ over 5min and [\d.]+ over 1h, both above 14\.4$/m,
     );
@@ -112,8 +112,8 @@
     expect(output).toMatch(/^tier +interactive +\d+ +█+$/m);
   });
 
-  test("counts late, refused and lost, and none that was cancelled", async () => {
-    const { output } = await runWords([...await startBurn(), "--json"]);
+  test("counts late, refused and lost requests, but not cancelled ones", async () => {
+    const { output } = await runCommand([...await startBurn(), "--json"]);
     const { rows } = JSON.parse(output);
     expect(rows[0]).toMatchObject({ class: "chat", objective: 0.95 });
     expect(rows[0].windows[0]).toMatchObject({
@@ -126,22 +126,22 @@
     });
   });
 
-  // Scripts read reports by this key: it stays, whatever the code calls it.
-  test("sums the causes by each property under the key blame", async () => {
-    const { output } = await runWords([...await startBurn(), "--json"]);
+  // Scripts depend on this key, which differs from the name in the code.
+  test("aggregates the causes by each property under the key blame", async () => {
+    const { output } = await runCommand([...await startBurn(), "--json"]);
     const { blame } = JSON.parse(output);
     expect(Object.keys(blame))
       .toEqual(["result", "tier", "step", "pool", "upstream"]);
     expect(blame.result[0]).toMatchObject({ value: "late", total: 10 });
   });
 
-  test("takes objectives from records where the VM sends none", async () => {
-    const words = await startBurn({ objectives: [] });
-    const without = JSON.parse((await runWords([...words, "--json"])).output);
+  test("reads objectives from records if the VM sends none", async () => {
+    const args = await startBurn({ objectives: [] });
+    const without = JSON.parse((await runCommand([...args, "--json"])).output);
     expect(without.rows[0].objective).toBeNull();
     expect(without.rows[0].windows[0].burn_rate).toBeNull();
     const records = ["--records", "examples/kontrola_sever"];
-    const run = await runWords([...words, ...records, "--json"]);
+    const run = await runCommand([...args, ...records, "--json"]);
     const chat = JSON.parse(run.output).rows.find(
       (row: { class: string; workspace: string | null }) =>
         row.class === "chat" && row.workspace === null,
@@ -151,26 +151,26 @@
   });
 
   test("refuses figures of another release", async () => {
-    const words = await startBurn({
+    const args = await startBurn({
       vms: [{ vm: "entry-1", incarnation: "i1", series: { formatVersion: 9 } }],
     });
-    const run = await runWords(words);
-    expect(run.error).toContain("figures of another form");
+    const run = await runCommand(args);
+    expect(run.error).toContain("sent burn figures in an unknown format");
     expect(run.exitCode).toBe(4);
   });
 
   test("colours a terminal unless NO_COLOR is set", async () => {
-    const words = await startBurn();
+    const args = await startBurn();
     const colour = { hasColour: true };
-    expect((await runWords(words, colour)).output).toContain("\u001b[");
+    expect((await runCommand(args, colour)).output).toContain("\u001b[");
     const plain = { ...colour, variables: { NO_COLOR: "1" } };
-    expect((await runWords(words, plain)).output).not.toContain("\u001b");
-    expect((await runWords(words)).output).not.toContain("\u001b");
+    expect((await runCommand(args, plain)).output).not.toContain("\u001b");
+    expect((await runCommand(args)).output).not.toContain("\u001b");
   });
 
-  test("writes a page that asks for nothing from outside", async () => {
+  test("writes a page that loads no external resources", async () => {
     const file = join(folder, "page.html");
-    await runWords([...await startBurn(), "--html", file]);
+    await runCommand([...await startBurn(), "--html", file]);
     const page = await readFile(file, "utf8");
     expect(page).toContain("entry-2");
     expect(page).toContain("<svg");
@@ -178,9 +178,9 @@
     expect(page).toContain("default-src 'none'");
   });
 
-  test("says when the page cannot be written", async () => {
+  test("exits with 3 if the page cannot be written", async () => {
     const file = join(folder, "none", "page.html");
-    const run = await runWords([...await startBurn(), "--html", file]);
+    const run = await runCommand([...await startBurn(), "--html", file]);
     expect(run.error).toContain(`${file} cannot be written`);
     expect(run.exitCode).toBe(3);
   });
@@ -189,7 +189,7 @@
 describe("burn --fold", () => {
   async function saveReport(): Promise<string> {
     const file = join(folder, "saved.json");
-    const run = await runWords([...await startBurn(), "--json"]);
+    const run = await runCommand([...await startBurn(), "--json"]);
     await writeFile(file, run.output);
     return file;
   }
@@ -214,11 +214,11 @@
   }
 
   async function foldFiles(files: string[]) {
-    const run = await runWords(["burn", "--json", "--fold", ...files]);
+    const run = await runCommand(["burn", "--json", "--fold", ...files]);
     return JSON.parse(run.output);
   }
 
-  test("counts a report that is given twice once", async () => {
+  test("counts a report once if it is given twice", async () => {
     const file = await saveReport();
     const once = await foldFiles([file]);
     const twice = await foldFiles([file, file]);
@@ -228,7 +228,7 @@
       .toEqual(["entry-2"]);
   });
 
-  test("adds requests of logs, each once", async () => {
+  test("counts each request from logs once", async () => {
     const log = join(folder, "daemon.log");
     await writeFile(
       log,
@@ -250,34 +250,34 @@
     expect(folded.causes[0].examples).toEqual(["r~entry-3~i3~2~1~code"]);
   });
 
-  // Symptom: a month's burn is twice what it was. Sequence: a report is folded
-  // with a log and saved; next week it is folded with that log again. Cause:
-  // counts do not say which log lines they came from.
-  test("does not fold a report that was folded with logs", async () => {
+  // Guards against counting requests twice: a report merged with a log is saved
+  // and later merged with the same log again. The counts do not record which
+  // log lines they include.
+  test("refuses a report that was merged with logs", async () => {
     const log = join(folder, "daemon.log");
     await writeFile(log, formatFinished("r~entry-3~i3~1~1~code"));
-    const run = await runWords(["burn", "--json", "--fold", log]);
+    const run = await runCommand(["burn", "--json", "--fold", log]);
     const file = join(folder, "folded.json");
     await writeFile(file, run.output);
-    const again = await runWords(["burn", "--fold", file, log]);
+    const again = await runCommand(["burn", "--fold", file, log]);
     expect(again.error).toContain("was itself folded with log files");
     expect(again.exitCode).toBe(3);
   });
 
   test.each([
-    ["{}", "is no report saved by burn --json"],
-    ["nothing", "hold no report and no finished request"],
+    ["{}", "is not a report saved by burn --json"],
+    ["nothing", "contain no report and no finished request"],
   ])("refuses a file that holds %s", async (text, why) => {
     const file = join(folder, "file");
     await writeFile(file, text);
-    const run = await runWords(["burn", "--fold", file]);
+    const run = await runCommand(["burn", "--fold", file]);
     expect(run.error).toContain(why);
     expect(run.exitCode).toBe(3);
   });
 
-  test("names a file that cannot be read", async () => {
+  test("exits with 3 and names a file that cannot be read", async () => {
     const file = join(folder, "none.json");
-    const run = await runWords(["burn", "--fold", file]);
+    const run = await runCommand(["burn", "--fold", file]);
     expect(run.error).toContain(`${file} cannot be read`);
     expect(run.exitCode).toBe(3);
   });
--- a/test/tool/burn/burn_fold_test.ts
+++ b/test/tool/burn/burn_fold_test.ts
@@ -17,7 +17,7 @@
 import {
   buildSpans,
   type BurnSample,
-  computeHeld,
+  computeCoveredMs,
 } from "../../../src/tool/burn/burn_sources.ts";
 import { EXAMPLE_CLASSES, ExampleVm } from "../../support/burn_examples.ts";
 
@@ -64,7 +64,7 @@
   return sum;
 }
 
-/** Two VMs, the second replaced on the way, gathered after each step. */
+/** Samples of two VMs after each step; the second VM is replaced halfway. */
 async function collectHistory(
   seed: number,
   steps: readonly number[],
@@ -93,7 +93,7 @@
   return { vms: [lasting, first, second], samples };
 }
 
-/** Few requests, so that hours of many histories take little time. */
+/** Classes with few requests, so that long histories run quickly. */
 const LIGHT_CLASSES = EXAMPLE_CLASSES.slice(0, 2)
   .map((example) => ({ ...example, perMinute: 1, badShare: 0.5 }));
 const STEPS = fc.array(fc.integer({ min: 1, max: 50 }), {
@@ -103,7 +103,7 @@
 const RUNS = { seed: 11, numRuns: 15 };
 
 describe("mergeSamples", () => {
-  test("counts each request once, whatever was saved how often", async () => {
+  test("counts each request once, even if samples are repeated", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 0, max: 1_000 }),
@@ -124,7 +124,7 @@
     );
   });
 
-  test("gives the same for every order", async () => {
+  test("does not depend on the order of samples", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 0, max: 1_000 }),
@@ -145,7 +145,7 @@
     );
   });
 
-  test("gives the same when it is saved and folded on", async () => {
+  test("returns the same result via a saved intermediate report", async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.integer({ min: 0, max: 1_000 }),
@@ -167,10 +167,10 @@
     );
   });
 
-  // Symptom: a fold shows twice the requests around the time of a report.
-  // Sequence: two machines save reports of one VM; one's clock is 7 min ahead.
-  // Cause: buckets matched by calendar time fall one beside the other.
-  test("counts once though the machines that saved disagree", async () => {
+  // Guards against counting requests twice if two machines whose clocks differ
+  // by 7 min save reports of one VM: buckets matched by wall-clock time would
+  // not coincide.
+  test("counts each request once if the clocks of the machines differ", async () => {
     const vm = ExampleVm.create({ vm: "a", incarnation: "a1", seed: 5 });
     await vm.runMinutes(33);
     const early = collectSample([vm], 40 * MINUTE_MS);
@@ -182,10 +182,9 @@
       .toEqual(countAll(mergeSamples([late]), HOUR_MS));
   });
 
-  // Symptom: what a VM served last week is gone from a fold of last week's and
-  // today's report. Sequence: the VM held three days, then gave them up. Cause:
-  // the newest report alone was taken of each VM.
-  test("keeps what a VM has given up since", async () => {
+  // Guards against losing requests that an older report still has: a VM keeps
+  // figures for three days, so its newest report lacks those of last week.
+  test("keeps figures that the VM has dropped since an older sample", async () => {
     const vm = ExampleVm.create({ vm: "a", incarnation: "a1", seed: 6 });
     await vm.runMinutes(60);
     const early = collectSample([vm], HOUR_MS);
@@ -194,9 +193,9 @@
     const late = collectSample([vm], 2 * HOUR_MS + 4 * DAY_MS);
     const fold = mergeSamples([late, early]);
     expect(countAll(fold, 30 * DAY_MS)).toEqual(countServed([vm]));
-    const held = computeHeld(fold.spansByVm.get("a")!, 30 * DAY_MS);
-    expect(held).toBeLessThanOrEqual(3 * DAY_MS + HOUR_MS);
-    expect(held).toBeGreaterThan(3 * DAY_MS);
+    const coveredMs = computeCoveredMs(fold.spansByVm.get("a")!, 30 * DAY_MS);
+    expect(coveredMs).toBeLessThanOrEqual(3 * DAY_MS + HOUR_MS);
+    expect(coveredMs).toBeGreaterThan(3 * DAY_MS);
   });
 });
 
@@ -223,21 +222,21 @@
     }));
   }
 
-  test("takes from logs what no report covers, each line once", async () => {
-    const gone = ExampleVm.create({ vm: "b", incarnation: "b1", seed: 2 });
+  test("adds requests from logs that no report covers, each line once", async () => {
+    const removed = ExampleVm.create({ vm: "b", incarnation: "b1", seed: 2 });
     const lasting = ExampleVm.create({ vm: "a", incarnation: "a1", seed: 1 });
-    for (const vm of [gone, lasting]) await vm.runMinutes(45);
-    const logged = [gone, lasting].flatMap((vm) => toLogged(vm, 0));
+    for (const vm of [removed, lasting]) await vm.runMinutes(45);
+    const logged = [removed, lasting].flatMap((vm) => toLogged(vm, 0));
     const sample = collectSample([lasting], 45 * MINUTE_MS);
     const fold = mergeSamples([sample], [...logged, ...logged]);
-    expect(countAll(fold, DAY_MS)).toEqual(countServed([gone, lasting]));
-    expect(fold.logRequests).toBe(gone.served.length);
+    expect(countAll(fold, DAY_MS)).toEqual(countServed([removed, lasting]));
+    expect(fold.logRequests).toBe(removed.served.length);
     expect(fold.coveredLogRequests).toBe(lasting.served.length);
     expect(mergeSamples([sample], logged.toReversed()))
       .toEqual(mergeSamples([sample], logged));
   });
 
-  test("takes the newest of two lines of one request, in any order", () => {
+  test("uses the newest of two lines of one request, in any order", () => {
     const vm = ExampleVm.create({ vm: "a", incarnation: "a1", seed: 1 });
     const line = {
       requestId: "r-1",
@@ -262,7 +261,7 @@
     }
   });
 
-  test("takes from logs what came after the last report", async () => {
+  test("adds requests from logs after the last report", async () => {
     const vm = ExampleVm.create({ vm: "a", incarnation: "a1", seed: 1 });
     await vm.runMinutes(30);
     const sample = collectSample([vm], 30 * MINUTE_MS);
--- a/test/tool/burn/burn_render_test.ts
+++ b/test/tool/burn/burn_render_test.ts
@@ -11,10 +11,10 @@
 import { renderText } from "../../../src/tool/burn/burn_terminal.ts";
 import { ExampleVm } from "../../support/burn_examples.ts";
 
-/** Ends elements and attributes, and writes right to left. */
+/** Closes elements and attributes, and changes the writing direction. */
 const HOSTILE = `</text></svg><script>alert("1")</script>'"&\u202e\u001b[2J`;
 
-/** A report in which every name that can come from outside is hostile. */
+/** Builds a report in which every external name is hostile. */
 function buildHostileReport(): BurnReport {
   const vm = ExampleVm.create({ vm: HOSTILE, incarnation: HOSTILE, seed: 1 });
   vm.record({
@@ -52,11 +52,10 @@
   }]));
 }
 
-// Symptom: a page opened by an operator runs what a caller wrote. Sequence: a
-// record, a log line or a saved report holds a name with markup. Cause: the name
-// was put into the page as it stood.
+// Guards against script injection into the operator's page: a record, a log
+// line or a saved report contains a name with markup that is not escaped.
 describe("renderPage", () => {
-  test("shows hostile names as text alone", () => {
+  test("renders hostile names as plain text", () => {
     const page = renderPage(buildHostileReport());
     expect(page).not.toContain("<script");
     expect(page).not.toContain("\u202e");
@@ -69,14 +68,14 @@
       [...element.attributes].map(({ name }) => name)
     );
     expect(attributes.filter((name) => name.startsWith("on"))).toEqual([]);
-    // Each plot stands whole: none was ended by a name.
+    // No name has closed the element of a plot.
     const plots = document.querySelectorAll("section.card > svg");
     expect(plots.length).toBe(document.querySelectorAll("section").length);
   });
 });
 
 describe("renderText", () => {
-  test("lets no name steer the terminal", () => {
+  test("replaces control characters in names", () => {
     const text = renderText(buildHostileReport(), { hasColour: false });
     expect(text).not.toContain("\u001b");
     expect(text).not.toContain("\u202e");
--- a/test/tool/burn/burn_report_test.ts
+++ b/test/tool/burn/burn_report_test.ts
@@ -86,7 +86,7 @@
 }
 
 describe("computeReport", () => {
-  test("computes rates and the budget as by hand", async () => {
+  test("computes burn rates and the budget", async () => {
     // At an objective of 99% one request in a hundred may be bad.
     // 2 h ago: 1,000 requests, 10 of them bad: rate 1.
     // 40 min ago: 200 requests, 4 late: rate 2.
@@ -136,7 +136,7 @@
     // Rate 14 over both: below 14.4, above 6.
     { early: [860, 140], late: [86, 14], fast: "quiet" },
   ])(
-    "sets off the fast rule by both windows: $early, $late",
+    "fires the fast rule only if both windows exceed it: $early, $late",
     async (example) => {
       const vm = createVm();
       await vm.clock.run(3 * DAY_MS);
@@ -150,12 +150,12 @@
     },
   );
 
-  test("says where a window is longer than what is held", async () => {
+  test("reports windows that are longer than the data held", async () => {
     const vm = createVm();
     await vm.clock.run(30 * MINUTE_MS);
     recordMany(vm, { result: "lost", count: 10 });
     const report = computeFor([vm], [buildObjective(0.99)]);
-    expect(report.windows.map(({ name, isWhole }) => [name, isWhole]))
+    expect(report.windows.map(({ name, isComplete }) => [name, isComplete]))
       .toEqual([
         ["5min", true],
         ["30min", true],
@@ -163,7 +163,7 @@
         ["6h", false],
         ["3d", false],
       ]);
-    expect(report.windows.map(({ heldMs }) => heldMs / MINUTE_MS))
+    expect(report.windows.map(({ coveredMs }) => coveredMs / MINUTE_MS))
       .toEqual([5, 30, 30, 30, 30]);
     expect(listStates(report)).toEqual({
       fast: "burning_on_part",
@@ -171,10 +171,10 @@
       steady: "burning_on_part",
     });
     expect(listLimits(report)[0]!.text)
-      .toContain("Windows from 1h on are longer than what is held (30.0min)");
+      .toContain("Windows from 1h on are longer than the data held (30.0min)");
   });
 
-  test("marks a threshold that an objective can never reach", async () => {
+  test("marks thresholds that the objective cannot reach", async () => {
     const vm = createVm();
     await vm.clock.run(3 * DAY_MS);
     recordMany(vm, { result: "lost", count: 10 });
@@ -187,7 +187,7 @@
     });
   });
 
-  test("gives a workspace with its own objective a row of its own", () => {
+  test("adds a separate row for a workspace with its own objective", () => {
     const vm = createVm();
     recordMany(vm, { result: "lost", count: 1, workspace: "north" });
     recordMany(vm, { result: "met", count: 9, workspace: "north" });
@@ -204,7 +204,7 @@
     expect(rates).toEqual([[undefined, 20, 0.5], ["south", 10, 0.4]]);
   });
 
-  test("shows a class without requests and one without objective", () => {
+  test("includes a class without requests and one without an objective", () => {
     const vm = createVm();
     recordMany(vm, { result: "lost", count: 1, className: "old" });
     const report = computeFor([vm], [buildObjective(0.9)]);
@@ -216,7 +216,7 @@
     expect(old.windows[0]).toMatchObject({ bad: 1, burnRate: undefined });
   });
 
-  test("sums VMs and breaks the causes down by each property", () => {
+  test("sums the figures of VMs and aggregates causes by property", () => {
     const [first, second] = [createVm("entry-1"), createVm("entry-2")];
     recordMany(first, { result: "late", count: 3, upstream: "engine-1" });
     recordMany(second, { result: "late", count: 2, upstream: "engine-1" });
@@ -235,7 +235,7 @@
       .toEqual(["entry-1-2", "entry-1-1", "entry-1-0"]);
   });
 
-  test("names missing VMs, and VMs that hold less than others", async () => {
+  test("names missing VMs and VMs with less data than others", async () => {
     const [old, young] = [createVm("entry-1"), createVm("entry-2")];
     await old.clock.run(2 * DAY_MS);
     await young.clock.run(10 * MINUTE_MS);
@@ -252,7 +252,7 @@
     expect(texts).toContainEqual(
       expect.stringContaining("what a replaced VM served is lost"),
     );
-    expect(report.windows.map(({ shortVms }) => shortVms))
+    expect(report.windows.map(({ partialVms }) => partialVms))
       .toEqual([0, 1, 1, 1, 2]);
   });
 });
--- a/test/tool/eager_clock.ts
+++ b/test/tool/eager_clock.ts
@@ -1,11 +1,11 @@
 /**
- * A clock whose waits are over at the next turn of the event loop.
+ * A clock whose timers fire at the next turn of the event loop.
  *
  * @module
  */
 import { type CancelTimer, Clock } from "../../src/process/clock.ts";
 
-/** Time that jumps to wherever somebody waits for. */
+/** Advances to the due time of each timer without waiting. */
 export class EagerClock extends Clock {
   #now = 0;
 
--- a/test/tool/fake_vm.ts
+++ b/test/tool/fake_vm.ts
@@ -1,5 +1,5 @@
 /**
- * A listener on loopback that answers as a test says.
+ * An HTTP server on the loopback address with answers defined by the test.
  *
  * @module
  */
@@ -11,16 +11,16 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** Answers one call. */
+/** Handler of one request. */
 export type Answer = (
   request: IncomingMessage,
   response: ServerResponse,
 ) => void;
 
-/** A VM of whose listeners only the answers matter. */
+/** A fake VM that records requests and returns prepared answers. */
 export class FakeVm {
   readonly #server: Server;
-  /** Method, path and credential of each call. */
+  /** Method, path and authorization header of each request. */
   readonly calls: string[] = [];
 
   constructor(answer: Answer) {
@@ -40,7 +40,7 @@
     return vm;
   }
 
-  /** A VM that answers paths with fixed values, and 404 otherwise. */
+  /** Starts a VM with fixed answers by path; other paths get 404. */
   static startFixed(answers: Record<string, unknown>): Promise<FakeVm> {
     return FakeVm.start((request, response) => {
       const path = (request.url ?? "").split("?")[0]!;
@@ -62,7 +62,7 @@
   }
 }
 
-/** Answers with a value as JSON. */
+/** Sends a value as a JSON response. */
 export function sendJson(
   response: ServerResponse,
   status: number,
--- a/test/tool/fleet_commands_test.ts
+++ b/test/tool/fleet_commands_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, test } from "vitest";
 import { FakeVm, sendJson } from "./fake_vm.ts";
-import { runWords } from "./recording_terminal.ts";
+import { runCommand } from "./recording_terminal.ts";
 
 const STATUS = {
   vm: "entry-1",
@@ -52,7 +52,7 @@
 describe("status", () => {
   test("shows the members and shards, and sends the token", async () => {
     const vm = await startFixed({ "/v1/status": STATUS });
-    const run = await runWords(["status", ...getOptions(vm)]);
+    const run = await runCommand(["status", ...getOptions(vm)]);
     expect(run.output).toMatch(/^VM entry-1 in dc-1 serves, up 1\.5min, 4 req/);
     expect(run.output).toMatch(/^entry-2 +dead +dc-2 +-$/m);
     expect(run.output).toMatch(/^small\/0 +entry-1 +3 +8 +1: 2, 3: 5 +1\.5s$/m);
@@ -60,15 +60,15 @@
     expect(vm.calls).toEqual(["GET /v1/status Bearer the-token"]);
   });
 
-  test("prints the whole answer as JSON", async () => {
+  test("prints the complete answer as JSON", async () => {
     const vm = await startFixed({ "/v1/status": STATUS });
-    const run = await runWords(["status", "--json", ...getOptions(vm)]);
+    const run = await runCommand(["status", "--json", ...getOptions(vm)]);
     expect(JSON.parse(run.output)).toEqual(STATUS);
   });
 
-  test("takes address and token from the environment", async () => {
+  test("reads address and token from the environment", async () => {
     const vm = await startFixed({ "/v1/status": STATUS });
-    const run = await runWords(["status"], {
+    const run = await runCommand(["status"], {
       variables: {
         PERSIMMONSLIP_URL: vm.url,
         PERSIMMONSLIP_TOKEN: "other",
@@ -78,43 +78,45 @@
     expect(vm.calls).toEqual(["GET /v1/status Bearer other"]);
   });
 
-  test("says what to check where the VM refuses the token", async () => {
+  test("prints a hint if the VM refuses the token", async () => {
     const vm = await startFake((_, response) => {
       sendJson(response, 401, { error: { message: "Operator token needed" } });
     });
-    const run = await runWords(["status", ...getOptions(vm)]);
+    const run = await runCommand(["status", ...getOptions(vm)]);
     expect(run.error).toContain("401: Operator token needed");
     expect(run.error).toContain("listeners.operators.token");
     expect(run.error).not.toContain("the-token");
     expect(run.exitCode).toBe(4);
   });
 
-  test("ends with 4 where nobody listens", async () => {
+  test("exits with 4 if nothing listens at the address", async () => {
     const vm = await startFixed({});
     const options = getOptions(vm);
     await vm.stop();
-    const run = await runWords(["status", ...options]);
+    const run = await runCommand(["status", ...options]);
     expect(run.error).toContain("cannot be reached");
     expect(run.exitCode).toBe(4);
   });
 
-  test("ends with 4 where the answer is of another form", async () => {
+  test("exits with 4 if the answer has an unexpected format", async () => {
     const vm = await startFixed({ "/v1/status": { hello: 1 } });
-    const run = await runWords(["status", ...getOptions(vm)]);
-    expect(run.error).toContain("another form");
+    const run = await runCommand(["status", ...getOptions(vm)]);
+    expect(run.error).toContain(
+      "sent an answer in an unexpected format for /v1/status",
+    );
     expect(run.exitCode).toBe(4);
   });
 
-  test("ends with 2 where no address or token is given", async () => {
-    const noUrl = await runWords(["status", "--token", "t"]);
+  test("exits with 2 if the address or token is missing", async () => {
+    const noUrl = await runCommand(["status", "--token", "t"]);
     expect(noUrl.error).toContain("PERSIMMONSLIP_URL");
-    const noToken = await runWords(["status", "--url", "http://127.0.0.1"]);
+    const noToken = await runCommand(["status", "--url", "http://127.0.0.1"]);
     expect(noToken.error).toContain("PERSIMMONSLIP_TOKEN");
     expect([noUrl.exitCode, noToken.exitCode]).toEqual([2, 2]);
   });
 });
 
-test("versions shows who has what, since when and from whom", async () => {
+test("versions shows the version of each VM, its age and source", async () => {
   const vm = await startFixed({
     "/v1/versions": {
       vms: [
@@ -123,12 +125,12 @@
       ],
     },
   });
-  const run = await runWords(["versions", ...getOptions(vm)]);
+  const run = await runCommand(["versions", ...getOptions(vm)]);
   expect(run.output).toMatch(/^entry-1 +7 +4\.2s +entry-2$/m);
   expect(run.output).toMatch(/^entry-3 +- +- +-$/m);
 });
 
-test("versions says which versions were not taken, and why", async () => {
+test("versions lists versions that were not accepted, with the reasons", async () => {
   const decision = { digest: "d1", from: "service", age_ms: 2_000 };
   const vm = await startFixed({
     "/v1/versions": {
@@ -145,7 +147,7 @@
       ],
     },
   });
-  const run = await runWords(["versions", ...getOptions(vm)]);
+  const run = await runCommand(["versions", ...getOptions(vm)]);
   expect(run.output).not.toContain("accepted");
   expect(run.output).toContain(
     "Version 8 from service was rejected 2.0s ago (content d1)\n" +
@@ -154,7 +156,7 @@
   expect(run.output).toContain("Version 7 from service was outranked");
 });
 
-test("entries asks the callers' listener, without a credential", async () => {
+test("entries calls the callers' listener without a credential", async () => {
   const vm = await startFixed({
     "/v1/entries": {
       entries: [
@@ -163,7 +165,7 @@
       ttl_ms: 10_000,
     },
   });
-  const run = await runWords([
+  const run = await runCommand([
     "entries",
     "--callers-url",
     vm.url,
@@ -175,35 +177,35 @@
 });
 
 describe("drain", () => {
-  test("orders the drain and says what is left", async () => {
+  test("starts the drain and prints the requests in flight", async () => {
     const vm = await startFixed({ "/v1/drain": { in_flight: 2 } });
-    const run = await runWords(["drain", ...getOptions(vm)]);
+    const run = await runCommand(["drain", ...getOptions(vm)]);
     expect(run.output).toBe("The VM drains, 2 requests in flight\n");
     expect(vm.calls).toEqual(["POST /v1/drain Bearer the-token"]);
   });
 
-  test("waits until nobody listens any more", async () => {
+  test("waits until the listener has closed", async () => {
     const vm: FakeVm = await startFake((request, response) => {
       const isOrder = request.method === "POST";
       response.setHeader("connection", "close");
       sendJson(response, 200, isOrder ? { in_flight: 1 } : STATUS);
       if (!isOrder) response.on("finish", () => void vm.stop());
     });
-    const run = await runWords(["drain", "--wait", ...getOptions(vm)]);
+    const run = await runCommand(["drain", "--wait", ...getOptions(vm)]);
     expect(run.output).toBe("The VM has drained and ended\n");
     expect(run.exitCode).toBe(0);
   });
 
-  // Symptom: `drain --wait` says that a VM has ended, and the operator removes
-  // it with requests in flight. Sequence: the order succeeds, then the VM
-  // breaks connections off without closing its listener. Cause: any failed
-  // call was taken for the end.
-  test("does not take a broken connection for the end", async () => {
+  // Guards against `drain --wait` reporting that a VM has exited while requests
+  // are in flight, so that the operator removes it: after the drain call, the
+  // VM resets connections but its listener stays open. Not every failed call
+  // means that the VM has exited.
+  test("does not treat a broken connection as the exit of the VM", async () => {
     const vm = await startFake((request, response) => {
       if (request.method === "POST") sendJson(response, 200, {});
       else request.socket.destroy();
     });
-    const run = await runWords(["drain", "--wait", ...getOptions(vm)]);
+    const run = await runCommand(["drain", "--wait", ...getOptions(vm)]);
     expect(run.output).toBe("");
     expect(run.error).toContain("cannot be reached");
     expect(run.exitCode).toBe(4);
--- a/test/tool/load_test.ts
+++ b/test/tool/load_test.ts
@@ -3,7 +3,7 @@
 import { flushTasks } from "../../standin/virtual_clock.ts";
 import { SystemClock } from "../../src/process/clock.ts";
 import { FakeVm, sendJson } from "./fake_vm.ts";
-import { runWords } from "./recording_terminal.ts";
+import { runCommand } from "./recording_terminal.ts";
 
 const started: FakeVm[] = [];
 
@@ -50,9 +50,9 @@
     return vm;
   }
 
-  test("reports what became of each class's requests", async () => {
+  test("reports the results of each class", async () => {
     const vm = await startCallers();
-    const run = await runWords([
+    const run = await runCommand([
       "load",
       ...["--callers-url", vm.url, "--key", "k", "--model", "m", "--json"],
       ...["--class", "good", "cut", "refused"],
@@ -77,13 +77,13 @@
     expect(run.exitCode).toBe(1);
   });
 
-  /** Each arrival takes a turn of the event loop, and there are about 40. */
+  /** Destroys the response after all arrivals: about 40, one per loop turn. */
   async function destroyLater(response: ServerResponse): Promise<void> {
     for (let turn = 0; turn < 1_000; turn++) await flushTasks();
     response.destroy();
   }
 
-  test("sends no more at once than it may", async () => {
+  test("limits the number of concurrent requests", async () => {
     const held: ServerResponse[] = [];
     const vm: FakeVm = await FakeVm.start((request, response) => {
       if (request.url !== "/v1/entries") {
@@ -96,7 +96,7 @@
       sendJson(response, 200, { entries, ttl_ms: 60_000 });
     });
     started.push(vm);
-    const run = await runWords([
+    const run = await runCommand([
       "load",
       ...["--callers-url", vm.url, "--key", "k", "--model", "m", "--json"],
       ...["--class", "chat", "--rate", "200", "--seconds", "0.2"],
@@ -113,7 +113,7 @@
     ["seconds", "0"],
     ["concurrency", "-1"],
   ])("refuses --%s %s", async (option, value) => {
-    const run = await runWords([
+    const run = await runCommand([
       "load",
       ...["--callers-url", "http://127.0.0.1", "--key", "k", "--model", "m"],
       ...["--class", "chat", `--${option}=${value}`],
--- a/test/tool/offline_test.ts
+++ b/test/tool/offline_test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { describe, expect, test } from "vitest";
-import { runWords } from "./recording_terminal.ts";
+import { runCommand } from "./recording_terminal.ts";
 
 const RECORDS = "examples/kontrola_sever";
 const CLASSES_FILE = "groups/classes/1.json";
@@ -37,8 +37,8 @@
 }
 
 describe("check", () => {
-  test("ends with 0 where settings and records are valid", async () => {
-    const run = await runWords(
+  test("exits with 0 if settings and records are valid", async () => {
+    const run = await runCommand(
       ["check", "--settings", writeSettings(SETTINGS), "--records", RECORDS],
       { variables: { TOKEN: "t" } },
     );
@@ -47,9 +47,9 @@
     expect(run.exitCode).toBe(0);
   });
 
-  test("ends with 1 and names each fault of the settings", async () => {
+  test("exits with 1 and lists each fault of the settings", async () => {
     const file = writeSettings({ ...SETTINGS, vm: 1, colour: "red" });
-    const run = await runWords(["check", "--settings", file, "--json"]);
+    const run = await runCommand(["check", "--settings", file, "--json"]);
     const report = JSON.parse(run.output);
     expect(report.ok).toBe(false);
     expect(report.checked[0].lines.join("\n")).toContain("$.vm: Expected");
@@ -59,31 +59,31 @@
     expect(run.exitCode).toBe(1);
   });
 
-  test("ends with 1 and names the record that is wrong", async () => {
+  test("exits with 1 and names the invalid record", async () => {
     const directory = copyRecords((text) =>
       text.replace('"tier": "lane"', '"tier": "nowhere"')
     );
-    const run = await runWords(["check", "--records", directory]);
+    const run = await runCommand(["check", "--records", directory]);
     expect(run.output).toContain("request_class lane_lookup: $.tier");
     expect(run.exitCode).toBe(1);
   });
 
-  test("ends with 3 where the records cannot be read", async () => {
-    const run = await runWords(["check", "--records", "no-such-directory"]);
+  test("exits with 3 if the records cannot be read", async () => {
+    const run = await runCommand(["check", "--records", "no-such-directory"]);
     expect(run.error).toContain("no-such-directory");
     expect(run.exitCode).toBe(3);
   });
 
-  test("ends with 2 where nothing is named", async () => {
-    const run = await runWords(["check"]);
+  test("exits with 2 if no file is given", async () => {
+    const run = await runCommand(["check"]);
     expect(run.error).toContain("Give --settings FILE");
     expect(run.exitCode).toBe(2);
   });
 });
 
 describe("diff", () => {
-  test("ends with 0 where nothing differs", async () => {
-    const run = await runWords(["diff", RECORDS, RECORDS]);
+  test("exits with 0 if nothing differs", async () => {
+    const run = await runCommand(["diff", RECORDS, RECORDS]);
     expect(run).toEqual({
       exitCode: 0,
       output: "No record differs\n",
@@ -91,11 +91,11 @@
     });
   });
 
-  test("ends with 1 and says what changes for whom", async () => {
+  test("exits with 1 and lists the changes and affected workspaces", async () => {
     const after = copyRecords((text) =>
       text.replace('"total_ms": 1000', '"total_ms": 900')
     );
-    const run = await runWords(["diff", RECORDS, after, "--json"]);
+    const run = await runCommand(["diff", RECORDS, after, "--json"]);
     const [change, ...others] = JSON.parse(run.output).changes;
     expect(others).toEqual([]);
     expect(change).toMatchObject({
@@ -107,11 +107,11 @@
     expect(run.exitCode).toBe(1);
   });
 
-  test("ends with 3 where no VM would accept one side", async () => {
+  test("exits with 3 if one side is invalid", async () => {
     const after = copyRecords((text) =>
       text.replace('"tier": "lane"', '"tier": "nowhere"')
     );
-    const run = await runWords(["diff", RECORDS, after]);
+    const run = await runCommand(["diff", RECORDS, after]);
     expect(run.error).toContain("no VM would accept");
     expect(run.exitCode).toBe(3);
   });
@@ -119,7 +119,7 @@
 
 describe("the command line", () => {
   test("lists the commands", async () => {
-    const run = await runWords(["--help"]);
+    const run = await runCommand(["--help"]);
     for (
       const command of [
         "check",
@@ -137,27 +137,27 @@
     expect(run.exitCode).toBe(0);
   });
 
-  test("gives the version of the package", async () => {
+  test("prints the version of the package", async () => {
     const { version } = JSON.parse(readFileSync("package.json", "utf8"));
-    const run = await runWords(["--version"]);
+    const run = await runCommand(["--version"]);
     expect(run.output).toBe(`${version}\n`);
   });
 
   test("suggests a command for a mistyped one", async () => {
-    const run = await runWords(["stauts"]);
+    const run = await runCommand(["stauts"]);
     expect(run.error).toContain("Did you mean status?");
     expect(run.exitCode).toBe(2);
   });
 
-  test("refuses an option that it does not know", async () => {
-    const run = await runWords(["check", "--setings", "x"]);
+  test("refuses an unknown option", async () => {
+    const run = await runCommand(["check", "--setings", "x"]);
     expect(run.error).toContain("setings");
     expect(run.exitCode).toBe(2);
   });
 
-  test("prints a stack trace only where asked", async () => {
-    const words = ["diff", "no-such-directory", RECORDS];
-    expect((await runWords(words)).error).not.toMatch(/\n +at /);
-    expect((await runWords([...words, "--debug"])).error).toMatch(/\n +at /);
+  test("prints a stack trace only with --debug", async () => {
+    const args = ["diff", "no-such-directory", RECORDS];
+    expect((await runCommand(args)).error).not.toMatch(/\n +at /);
+    expect((await runCommand([...args, "--debug"])).error).toMatch(/\n +at /);
   });
 });
--- a/test/tool/recording_terminal.ts
+++ b/test/tool/recording_terminal.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the tool in this process and keeps what it writes.
+ * Runs the tool in this process and captures its output.
  *
  * @module
  */
@@ -8,7 +8,7 @@
 import { runTool, Terminal } from "../../src/tool/index.ts";
 import { EagerClock } from "./eager_clock.ts";
 
-/** What one run of the tool gave. */
+/** Exit code and output of one run of the tool. */
 export interface ToolRun {
   exitCode: number;
   output: string;
@@ -35,9 +35,9 @@
   }
 }
 
-/** Runs the tool with `words` as its arguments. */
-export async function runWords(
-  words: string[],
+/** Runs the tool with `args` as its command-line arguments. */
+export async function runCommand(
+  args: string[],
   options: {
     variables?: Record<string, string>;
     clock?: Clock;
@@ -45,7 +45,7 @@
   } = {},
 ): Promise<ToolRun> {
   const terminal = new RecordingTerminal(options.hasColour ?? false);
-  const exitCode = await runTool(words, {
+  const exitCode = await runTool(args, {
     terminal,
     clock: options.clock ?? EagerClock.create(),
     random: SeededRandom.create(1),
--- a/test/tool/request_status_test.ts
+++ b/test/tool/request_status_test.ts
@@ -7,14 +7,17 @@
 import { formatStatusPage } from "../../src/request/request_status_page.ts";
 import type { LogFields } from "../../src/process/log.ts";
 import { formatLogLine } from "../../src/process/log_line.ts";
-import { buildStory, renderStory } from "../../src/tool/request_explanation.ts";
-import type { FatePage } from "../../src/tool/operator_answers.ts";
+import {
+  buildExplanation,
+  renderExplanation,
+} from "../../src/tool/request_explanation.ts";
+import type { RequestStatusPage } from "../../src/tool/operator_answers.ts";
 import { FakeVm } from "./fake_vm.ts";
-import { runWords } from "./recording_terminal.ts";
+import { runCommand } from "./recording_terminal.ts";
 
 const ID = "r~entry-1~abc~1~2~0123456789abcdef0123";
 
-function buildPage(change: Partial<FatePage>): FatePage {
+function buildPage(change: Partial<RequestStatusPage>): RequestStatusPage {
   return {
     request_id: ID,
     outcome: "answered",
@@ -40,13 +43,13 @@
   };
 }
 
-function renderPage(change: Partial<FatePage>): string {
+function renderPage(change: Partial<RequestStatusPage>): string {
   const page = buildPage(change);
-  return renderStory(page, buildStory(page));
+  return renderExplanation(page, buildExplanation(page));
 }
 
-describe("the story of a fate", () => {
-  test("says where it waited, behind whom, how long and on which replica", () => {
+describe("renderExplanation", () => {
+  test("shows the queue, the wait and the replica of an answered request", () => {
     const text = renderPage({});
     expect(text).toContain("workspace clinic, class chat");
     expect(text).toContain("Answered in full, 40 tokens.");
@@ -58,7 +61,7 @@
     expect(text).not.toContain("What is not known");
   });
 
-  test("says why it was refused, and that it may be sent again", () => {
+  test("shows why a request was refused, and that it may be sent again", () => {
     const text = renderPage({
       outcome: "not_run",
       code: "queue_full",
@@ -71,7 +74,7 @@
     expect(text).toContain("may be sent again safely");
   });
 
-  test("says what is not known and why", () => {
+  test("lists what is not known and why", () => {
     const text = renderPage({
       outcome: "unknown",
       code: "upstream_timeout",
@@ -90,19 +93,19 @@
     expect(text).toContain("2 steps left out");
   });
 
-  test("warns where a request ran and its answer did not arrive", () => {
+  test("warns if a request ran but its answer did not arrive", () => {
     const text = renderPage({ outcome: "ran", code: "cancelled" });
     expect(text).toContain("Sending it again does the work twice");
   });
 });
 
 describe("fate", () => {
-  test("asks a VM", async () => {
+  test("fetches the request status from a VM", async () => {
     const path = `/v1/requests/${encodeURIComponent(ID)}`;
     const vm = await FakeVm.startFixed({ [path]: buildPage({}) });
     const options = ["--url", vm.url, "--token", "t"];
-    const run = await runWords(["fate", ID, "--json", ...options]);
-    const unknown = await runWords(["fate", "r~other", ...options]);
+    const run = await runCommand(["fate", ID, "--json", ...options]);
+    const unknown = await runCommand(["fate", "r~other", ...options]);
     await vm.stop();
     expect(JSON.parse(run.output).explanation.outcome).toContain("Answered");
     expect(run.exitCode).toBe(0);
@@ -111,7 +114,7 @@
   });
 });
 
-test("fate reads the page that a VM makes of its record", async () => {
+test("fate parses the page that a VM builds from a request status", async () => {
   const record: RequestStatus = {
     requestId: toId(ID),
     vm: toId("entry-1"),
@@ -128,7 +131,7 @@
   const path = `/v1/requests/${encodeURIComponent(ID)}`;
   const page = formatStatusPage(record);
   const vm = await FakeVm.startFixed({ [path]: page });
-  const run = await runWords(["fate", ID, "--url", vm.url, "--token", "t"]);
+  const run = await runCommand(["fate", ID, "--url", vm.url, "--token", "t"]);
   await vm.stop();
   expect(run.output).toContain("workspace clinic, class chat");
   expect(run.output).toContain("Not run (shed): Shed.");
@@ -162,7 +165,7 @@
 ];
 
 describe("fate --logs", () => {
-  test("puts a fate together from the lines of several files", async () => {
+  test("builds the request status from the lines of several files", async () => {
     const first = writeLogs(STEPS);
     const second = writeLogs([["request_finished", {
       request_id: ID,
@@ -171,7 +174,14 @@
       outcome: "answered",
       tokens: 12,
     }]]);
-    const run = await runWords(["fate", ID, "--logs", second, first, "--json"]);
+    const run = await runCommand([
+      "fate",
+      ID,
+      "--logs",
+      second,
+      first,
+      "--json",
+    ]);
     const page = JSON.parse(run.output);
     expect(page).toMatchObject({
       outcome: "answered",
@@ -185,22 +195,22 @@
     expect(page.steps[1].detail).toBe('behind 1 of "clerk"');
   });
 
-  // Symptom: support tells a customer that a request did not run, and it had.
-  // Sequence: the VM dies after it queued the request; its last lines are lost.
-  // Cause: a log without a line that says "sent" was taken for proof.
-  test("never says not run of a request whose end is not logged", async () => {
+  // Guards against support reporting that a request did not run although it
+  // did: the VM fails after queueing the request, its last log lines are lost,
+  // and the missing "sent" line is taken as proof.
+  test("reports unknown for a request whose end is not logged", async () => {
     const file = writeLogs(STEPS.slice(0, 3));
-    const run = await runWords(["fate", ID, "--logs", file, "--json"]);
+    const run = await runCommand(["fate", ID, "--logs", file, "--json"]);
     const page = JSON.parse(run.output);
     expect(page.outcome).toBe("unknown");
     expect(page.why).toContain("The logs end before the request did");
   });
 
-  // Symptom: a hold is told as not run, and the customer has two. Sequence: one
-  // VM refuses the hold, it is submitted again under its id and runs at another
-  // VM, and the log of the first is named last. Cause: the end that was read
-  // last was taken; with one log alone, a refusal was taken for the last word.
-  test("never says not run of an id that another VM may have run", async () => {
+  // Guards against a booking hold that ran being reported as not run, so that
+  // the customer gets two. One VM refuses the hold; it is submitted again under
+  // its id and runs on another VM. The final line read last must not win, and a
+  // refusal in a single log must not be taken as conclusive.
+  test("does not report not run for an id that another VM may have run", async () => {
     const refused = writeLogs([["request_finished", {
       request_id: ID,
       outcome: "not_run",
@@ -213,54 +223,53 @@
       vm: "entry-2",
     }]]);
     for (const logs of [[ran, refused], [refused, ran]]) {
-      const run = await runWords(["fate", ID, "--logs", ...logs, "--json"]);
+      const run = await runCommand(["fate", ID, "--logs", ...logs, "--json"]);
       expect(JSON.parse(run.output)).toMatchObject({
         outcome: "ran",
         vm: "entry-2",
       });
     }
-    const alone = await runWords(["fate", ID, "--logs", refused, "--json"]);
+    const alone = await runCommand(["fate", ID, "--logs", refused, "--json"]);
     const page = JSON.parse(alone.output);
     expect(page).toMatchObject({ outcome: "unknown", code: "queue_full" });
     expect(page.why).toContain("another VM may have run it");
   });
 
-  test("says not run of an id that went with one submission", async () => {
+  test("reports not run for an id that is valid for one submission only", async () => {
     const id = ID.replace("r~", "s~");
     const file = writeLogs([["request_finished", {
       request_id: id,
       outcome: "not_run",
       code: "queue_full",
     }]]);
-    const run = await runWords(["fate", id, "--logs", file, "--json"]);
+    const run = await runCommand(["fate", id, "--logs", file, "--json"]);
     expect(JSON.parse(run.output).outcome).toBe("not_run");
   });
 
-  test("takes lines once that several files have", async () => {
+  test("counts a line once if several files contain it", async () => {
     const file = writeLogs(STEPS);
-    const run = await runWords(["fate", ID, "--logs", file, file, "--json"]);
+    const run = await runCommand(["fate", ID, "--logs", file, file, "--json"]);
     expect(JSON.parse(run.output).steps).toHaveLength(3);
   });
 
-  test("ends with 1 where no line is of the request", async () => {
+  test("exits with 1 if no line belongs to the request", async () => {
     const file = writeLogs(STEPS);
-    const run = await runWords(["fate", "r~none", "--logs", file]);
+    const run = await runCommand(["fate", "r~none", "--logs", file]);
     expect(run.output).toContain("no line of request r~none");
     expect(run.exitCode).toBe(1);
   });
 
-  test("ends with 3 where a file cannot be read", async () => {
-    const run = await runWords(["fate", ID, "--logs", "no-such-file"]);
+  test("exits with 3 if a file cannot be read", async () => {
+    const run = await runCommand(["fate", ID, "--logs", "no-such-file"]);
     expect(run.error).toContain("no-such-file cannot be read");
     expect(run.exitCode).toBe(3);
   });
 });
 
-describe("the fate of a caller's own id, from logs", () => {
-  // Symptom: an engineer reads that nothing is known of a refused request.
-  // Sequence: a VM refuses it before any work on it began.
-  // Cause: only the lines of requests that were worked on were read.
-  test("is told where it was refused at once", async () => {
+describe("fate --logs for an id chosen by the caller", () => {
+  // Guards against a refused request being reported as unknown: a VM refuses it
+  // before processing begins, and only lines of processed requests are read.
+  test("reports a request that was refused immediately", async () => {
     const folder = mkdtempSync(join(tmpdir(), "fate-"));
     const file = join(folder, "vm.log");
     const id = "15d3eac5c8f4186c";
@@ -276,7 +285,7 @@
       },
     });
     writeFileSync(file, `${line}\n`);
-    const { output } = await runWords(["fate", id, "--logs", file]);
+    const { output } = await runCommand(["fate", id, "--logs", file]);
     expect(output).toContain("Not run (not_ready)");
     expect(output).toContain("it may be sent again safely");
   });
--- a/test/version/changes_test.ts
+++ b/test/version/changes_test.ts
@@ -11,7 +11,7 @@
 }
 
 describe("compareSnapshots", () => {
-  it("finds nothing when only the schema version changes", () => {
+  it("finds no changes if only the schema version differs", () => {
     const changes = compareAfter((set) => {
       const { requests_per_minute, tokens_per_minute, ...web } = set.web ?? {};
       const limits = { requests_per_minute, tokens_per_minute };
@@ -20,7 +20,7 @@
     expect(changes).toEqual([]);
   });
 
-  it("says which workspaces a class's change affects", () => {
+  it("lists the workspaces that a change of a class affects", () => {
     const changes = compareAfter((set) => {
       Object.assign(set.desk ?? {}, {
         classes: ["hold"],
@@ -46,7 +46,7 @@
     });
   });
 
-  it("says whom a tier, a pool and the policy affect", () => {
+  it("describes the impact of changes to a tier, a pool and the policy", () => {
     const changes = compareAfter((set) => {
       Object.assign(set.low ?? {}, { rank: 5 });
       delete set.engines;
@@ -60,7 +60,7 @@
     ]);
   });
 
-  it("writes no key hash into its text", () => {
+  it("omits key hashes from the text", () => {
     const [change] = compareAfter((set) => {
       Object.assign(set.web ?? {}, { key_hashes: ["a".repeat(64)] });
     });
--- a/test/version/conversion_test.ts
+++ b/test/version/conversion_test.ts
@@ -69,7 +69,7 @@
   expect(parseRecord(second)).toStrictEqual(parsed);
 }
 
-describe("a record in schema 1 and in schema 2 is one record", () => {
+describe("equivalent records of schema 1 and schema 2 convert to the same result", () => {
   it("for a request class", () => {
     fc.assert(
       fc.property(CLASS, TARGETS, (fields, targets) => {
@@ -145,8 +145,8 @@
   });
 });
 
-describe("each field of a record arrives under its own name", () => {
-  // The equality of two schemas cannot show a field that both take wrongly.
+describe("each field of a record is converted to its own property", () => {
+  // Comparing the schemas does not detect a field that both convert wrongly.
   it("for a request class", () => {
     const { chat } = buildRawRecords();
     expect(parseRecord({ ...chat, late_is_useful: true })).toStrictEqual({
--- a/test/version/hostile_records_test.ts
+++ b/test/version/hostile_records_test.ts
@@ -18,10 +18,10 @@
 }
 
 describe("hostile records", () => {
-  it("are refused when nested too deep, without a stack overflow", () => {
-    // Symptom: a VM stops with a RangeError on a version that others take.
-    // Sequence: a record nested 100,000 levels deep is published. Cause: a
-    // recursive check, whose depth depends on the size of the VM's stack.
+  it("are rejected if nested too deeply, without a stack overflow", () => {
+    // Guards against a VM crashing with a RangeError on a version that others
+    // accept: a recursive check of a record nested 100,000 levels deep
+    // overflows the stack, depending on the VM's stack size.
     const values = [
       buildDeepValue(DEEP),
       { ...buildRawRecords().chat, name: buildDeepValue(DEEP) },
@@ -34,13 +34,13 @@
     }
   });
 
-  it("are refused when they are cyclic", () => {
+  it("are rejected if they are cyclic", () => {
     const value: Record<string, unknown> = { ...buildRawRecords().chat };
     value.self = value;
     expect(findProblems([value])).toHaveLength(1);
   });
 
-  it("are refused when they are huge", () => {
+  it("are rejected if they are huge", () => {
     const wide = Array.from({ length: 1_000_000 }, () => 1);
     const values = [
       wide,
@@ -55,10 +55,9 @@
     expect(findProblems(Array.from({ length: 100_001 }))).toHaveLength(1);
   });
 
-  it("set no prototype", () => {
-    // Symptom: a workspace has limits that its record does not hold. Sequence:
-    // a record with a `__proto__` field is read and its fields are copied.
-    // Cause: a copy by assignment sets the prototype of the copy.
+  it("do not set a prototype", () => {
+    // Guards against a workspace with limits that its record does not contain:
+    // copying a `__proto__` field by assignment sets the prototype of the copy.
     const texts = [
       '{"__proto__":{"limits":1}}',
       '{"limits":{"__proto__":{"requests_per_minute":1}}}',
@@ -76,7 +75,7 @@
     }
   });
 
-  it("of any JSON type are refused without a throw", () => {
+  it("of any JSON type are rejected without an exception", () => {
     fc.assert(
       fc.property(fc.jsonValue(), (value) => {
         expect(parseRecord(value).kind).toBe("invalid");
@@ -85,7 +84,7 @@
     );
   });
 
-  it("with any one field replaced never throw", () => {
+  it("with any one field replaced never cause an exception", () => {
     const set = Object.values(buildRawRecords());
     const places = set.flatMap((record, index) =>
       Object.keys(record).map((field) => ({ index, field }))
--- a/test/version/interactive_classes_test.ts
+++ b/test/version/interactive_classes_test.ts
@@ -18,16 +18,16 @@
   return [...findInteractiveClasses(routes, new Map(classes))];
 }
 
-it("takes the classes with the shortest pauses of a pool for interactive streams", () => {
+it("returns the classes with the shortest inter-token targets of a pool", () => {
   const found = find([["draft", 800], ["question", 300], ["letter", 200]]);
   expect(found).toEqual(["letter"]);
 });
 
-it("finds no interactive streams where all streams accept the same pauses", () => {
+it("returns no classes if all streams have similar targets", () => {
   expect(find([["draft", 300], ["letter", 290]])).toEqual([]);
 });
 
-it("leaves calls that are no streams out", () => {
+it("ignores calls that are not streams", () => {
   const found = find([["lookup", 10, "idempotent_call"], ["draft", 300]]);
   expect(found).toEqual([]);
 });
--- a/test/version/keys_test.ts
+++ b/test/version/keys_test.ts
@@ -5,7 +5,7 @@
 describe("findWorkspaceByKey", () => {
   const snapshot = buildAccepted(Object.values(buildRawRecords()));
 
-  it("finds the workspace of each key and of nothing else", () => {
+  it("finds workspaces only by their exact keys", () => {
     expect(findWorkspaceByKey(snapshot, "web-key")?.name).toBe("web");
     expect(findWorkspaceByKey(snapshot, "desk-key")?.name).toBe("desk");
     const others = ["", "web-ke", "web-keyy", computeKeyHash("web-key")];
--- a/test/version/membership_schema_test.ts
+++ b/test/version/membership_schema_test.ts
@@ -25,7 +25,7 @@
 }
 
 describe("parseMembershipList", () => {
-  it("reads entry VMs and upstreams, and passes over other fields", () => {
+  it("parses entry VMs and upstreams, and ignores unknown fields", () => {
     const list = parseVms({ ...ENTRY, rack: 7 }, UPSTREAM);
     expect(list.revision).toBe(3);
     expect(list.vms).toEqual([
@@ -52,10 +52,10 @@
     ]);
   });
 
-  it("refuses an id that is there twice", () => {
-    // Symptom: two VMs name different owners for one shard. Sequence: the list
-    // holds one id with two addresses, and the VMs' look-ups find another one
-    // each. Cause: a list accepted with a repeated id.
+  it("refuses a duplicate id", () => {
+    // Guards against two VMs computing different owners of a shard: the list
+    // has an id with two addresses, and each VM's look-up finds a different
+    // one.
     expect(() => parseVms(ENTRY, UPSTREAM, { ...UPSTREAM, port: 9 }))
       .toThrow(/\$\.vms\[2\]\.id/);
   });
--- a/test/version/priority_ranks_test.ts
+++ b/test/version/priority_ranks_test.ts
@@ -32,13 +32,12 @@
   };
 }
 
-describe("ranks of urgency", () => {
-  // Symptom: urgent talks are preempted while documents run on.
-  // Sequence: all workspaces but one have the same priority, and a replica's
-  // memory runs out.
-  // Cause: the workspace's priority replaced the route's, so that talks and
-  // documents of a workspace were equal, and the newest had to go.
-  it("put routes in order, and workspaces within each", () => {
+describe("PriorityRanks", () => {
+  // Guards against urgent talks being preempted while documents continue to run
+  // when a replica runs out of memory. If the workspace's priority replaced the
+  // route's, talks and documents of a workspace would rank equally and the
+  // newest would be preempted; most workspaces share one priority.
+  it("order calls by route, then by workspace", () => {
     const [first, other] = [buildWorkspace(0), buildWorkspace(1)];
     const [talk, document] = [buildRoute(0), buildRoute(1)];
     const ranks = PriorityRanks.create([first, other], [talk, document]);
@@ -49,11 +48,11 @@
       ranks.getRank(other, document),
     ];
     expect(order[0]).toBe(0);
-    const isRising = order.slice(1).every((rank, at) => rank > order[at]!);
-    expect(isRising).toBe(true);
+    const isAscending = order.slice(1).every((rank, at) => rank > order[at]!);
+    expect(isAscending).toBe(true);
   });
 
-  it("put workspaces without a priority last", () => {
+  it("rank workspaces without a priority last", () => {
     const [named, unnamed] = [buildWorkspace(3), buildWorkspace()];
     const route = buildRoute(0);
     const ranks = PriorityRanks.create([named, unnamed], [route]);
@@ -61,7 +60,7 @@
       .toBeLessThan(ranks.getRank(unnamed, route));
   });
 
-  it("stay within the engines' levels, in order", () => {
+  it("stay within the engines' levels and keep the order", () => {
     const workspaces = [0, 1, 2, 3, 4].map(buildWorkspace);
     const routes = [0, 1, 2, 3].map(buildRoute);
     const ranks = PriorityRanks.create(workspaces, routes);
@@ -73,9 +72,9 @@
     expect(order.at(-1)).toBeLessThanOrEqual(9);
   });
 
-  // Symptom: urgent prompts wait while less urgent ones begin.
-  // Cause: what is late was put behind everything else.
-  it("put what is late behind its route, and before the next one", () => {
+  // Guards against late urgent prompts waiting while less urgent ones start,
+  // which happens if late calls rank behind all other calls.
+  it("rank late calls behind those of their route and before the next route", () => {
     const workspaces = [buildWorkspace(0), buildWorkspace(1)];
     const [talk, document] = [buildRoute(0), buildRoute(1)];
     const ranks = PriorityRanks.create(workspaces, [talk, document]);
--- a/test/version/record_directory_test.ts
+++ b/test/version/record_directory_test.ts
@@ -31,7 +31,7 @@
       dataCentres: 3,
       pools: { assist: 13, booking: 3 },
     },
-  ])("of $user load at the user's sizes", async (example) => {
+  ])("of $user load with the expected sizes", async (example) => {
     const directory = await readRecordDirectory(join(EXAMPLES, example.user));
     const snapshot = buildAccepted(directory.records);
     expect(snapshot.workspaces.size).toBe(10);
@@ -51,7 +51,7 @@
     expect(new Set(schemas)).toEqual(new Set([1, 2]));
   });
 
-  it("name a non-idempotent class for calls that name none", async () => {
+  it("use a non-idempotent default class for calls without a class", async () => {
     for (const user of ["lectura_llana", "kontrola_sever"]) {
       const { records } = await readRecordDirectory(join(EXAMPLES, user));
       const { pools, classes } = buildAccepted(records);
--- a/test/version/record_fixtures.ts
+++ b/test/version/record_fixtures.ts
@@ -1,18 +1,18 @@
 /**
- * A small valid set of records, which tests alter one field at a time.
+ * A small valid set of records that tests modify field by field.
  *
  * @module
  */
 import { buildSnapshot, computeKeyHash } from "../../src/version/index.ts";
 import type { RecordProblem, Snapshot } from "../../src/version/index.ts";
 
-/** A record as published. */
+/** A published record. */
 export type RawRecord = Record<string, unknown>;
 
-/** The name of a record in the set, which is also its place in it. */
+/** Records by name. */
 export type RawRecords = Record<string, RawRecord>;
 
-/** Builds the valid set anew, so that a test may change it. */
+/** Builds a new copy of the valid records, which a test may modify. */
 export function buildRawRecords(): RawRecords {
   return {
     high: { kind: "tier", schema: 1, name: "high", rank: 0 },
@@ -109,14 +109,14 @@
   };
 }
 
-/** The snapshot of `records`; throws when they are rejected. */
+/** Builds the snapshot of `records`; throws if they are rejected. */
 export function buildAccepted(records: readonly unknown[]): Snapshot {
   const result = buildSnapshot(1, records);
   if (result.kind === "accepted") return result.snapshot;
   throw new Error(JSON.stringify(result.problems));
 }
 
-/** The problems of `records`; none when they are accepted. */
+/** Returns the problems of `records`; none if they are accepted. */
 export function findProblems(records: readonly unknown[]): RecordProblem[] {
   const result = buildSnapshot(1, records);
   return result.kind === "rejected" ? result.problems : [];
--- a/test/version/record_groups_test.ts
+++ b/test/version/record_groups_test.ts
@@ -10,7 +10,7 @@
 const MAX_BYTES = 200;
 
 describe("buildRecordGroups", () => {
-  it("loses no record and keeps each value within the bound", () => {
+  it("includes every record and limits the size of each value", () => {
     const records = fc.array(fc.record({
       kind: fc.constantFrom("tier", "workspace", "../x"),
       name: fc.string({ unit: "binary", maxLength: 20 }),
@@ -40,7 +40,7 @@
 });
 
 describe("parseIndex and parseGroup", () => {
-  it("refuse values of another shape", () => {
+  it("refuse values with an unexpected structure", () => {
     const texts = [
       "null",
       '{"version":0,"groups":{}}',
--- a/test/version/snapshot_test.ts
+++ b/test/version/snapshot_test.ts
@@ -18,7 +18,7 @@
 interface Fault {
   title: string;
   change: (set: RawRecords) => void;
-  /** The record and path of each problem, in order. */
+  /** Record name and path of each expected problem, in order. */
   places: string[];
 }
 
@@ -85,7 +85,7 @@
     fields: { kind: "level" },
     places: ["high $.kind"],
   }),
-  buildFault("a name that plain objects have", {
+  buildFault("a name that plain objects inherit", {
     record: "chat",
     fields: { name: "constructor" },
     places: ["constructor $.name"],
@@ -110,12 +110,12 @@
     fields: { classes: ["chat", "hold", "chat"] },
     places: ["web $.classes[2]"],
   }),
-  buildFault("an objective for a class that is not its own", {
+  buildFault("an objective for a class that the workspace does not list", {
     record: "desk",
     fields: { objectives: { other: 0.9 } },
     places: ["desk $.objectives.other"],
   }),
-  buildFault("a nested field of no such name", {
+  buildFault("an unknown nested field", {
     record: "desk",
     fields: { limits: { requests_per_minute: 1, tokens_per_minute: 1, x: 1 } },
     places: ["desk $.limits.x"],
@@ -135,7 +135,7 @@
     fields: { weights: { wasted_work: 0, goodput: 0, attainment: 0 } },
     places: ["policy $.weights"],
   }),
-  buildFault("a tier that may hold less than its classes are promised", {
+  buildFault("a tier whose limit is below the shares of its classes", {
     record: "low",
     fields: { max_slot_share: 0.05 },
     places: ["low $.max_slot_share"],
@@ -174,7 +174,7 @@
     expect(snapshot.policy.weights.attainment).toBe(3);
   });
 
-  it("takes the default policy where the records hold none", () => {
+  it("uses the default policy if the records contain none", () => {
     const { policy: _, ...set } = buildRawRecords();
     expect(buildAccepted(Object.values(set)).policy).toEqual(DEFAULT_POLICY);
   });
@@ -186,9 +186,9 @@
     expect(findProblems(Object.values(set))).toEqual([]);
   });
 
-  it("accepts shares whose sum only rounding puts above the bound", () => {
-    // Symptom: records that add up to the bound are rejected. Sequence: a tier
-    // capped at 0.3 has classes of 0.1 and 0.2. Cause: 0.1 + 0.2 > 0.3 in
+  it("accepts shares whose sum exceeds the bound only by rounding", () => {
+    // Guards against rejecting records whose shares add up to the bound: a tier
+    // limited to 0.3 has classes of 0.1 and 0.2, and 0.1 + 0.2 > 0.3 in
     // floating point.
     const set = buildRawRecords();
     Object.assign(set.low ?? {}, { max_slot_share: 0.3 });
@@ -198,9 +198,8 @@
   });
 
   it("rejects an empty set with its version", () => {
-    // Symptom: every caller is refused everywhere, seconds after a change.
-    // Sequence: a publisher writes an index that names no group; every VM
-    // takes it. Cause: a set without records counted as a valid one.
+    // Guards against every VM refusing all callers: a publisher writes an index
+    // without groups, and an empty set of records is accepted as valid.
     expect(buildSnapshot(9, [])).toMatchObject({
       kind: "rejected",
       version: 9,
@@ -219,10 +218,10 @@
     }
   });
 
-  it("decides alike whatever the order of the records", () => {
-    // Symptom: one VM takes a version that another rejects, or reports other
-    // problems for it. Sequence: two VMs read the groups of one version in
-    // different orders. Cause: a check that depends on which record is first.
+  it("returns the same result for any order of the records", () => {
+    // Guards against VMs that disagree on a version, or report different
+    // problems for it: they read its groups in different orders, and a check
+    // depends on which record comes first.
     const faults = fc.subarray(FAULTS, { maxLength: 3 });
     const order = fc.array(fc.integer(), { minLength: 12, maxLength: 12 });
     fc.assert(
@@ -244,7 +243,7 @@
   });
 });
 
-/** As text, so that the order of entries in each map is compared too. */
+/** Renders as text, so that the order of map entries is compared too. */
 function renderResult(result: unknown): string {
   return JSON.stringify(
     result,
