--- a/.ci/judge.js
+++ b/.ci/judge.js
@@ -1,6 +1,7 @@
 /**
- * Judges vitest's report: fails on any failure that KNOWN-RED.txt does not
- * list, prints the listed ones, and ends with the line `N passed, N failed`.
+ * Evaluates vitest's report: fails on any failed test that KNOWN-RED.txt does
+ * not list, prints the listed ones, and ends with the line
+ * `N passed, N failed`.
  *
  * Each line of KNOWN-RED.txt is `test | cause | issue`, where the test is
  * `FILE > FULL NAME`, as this script prints failed tests.
@@ -13,7 +14,7 @@
 
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 const MAX_KNOWN_RED = 3;
-/** Vitest prints this when an error arose outside of any test. */
+/** Vitest prints this for an error outside of any test. */
 const UNHANDLED_MARK = "Unhandled Error";
 
 const [reportFile, logFile, vitestStatus] = process.argv.slice(2);
@@ -31,7 +32,9 @@
   });
 }
 
-/** A file that could not be loaded has no tests, yet it failed. */
+/**
+ * Lists the files that failed to load: they failed, but have no failed test.
+ */
 function listFileFailures(results) {
   return results
     .filter((file) => file.status === "failed")
@@ -91,8 +94,8 @@
   }
   for (const test of skipped) printLine(`not run: ${test}`);
   if (passed.length === 0) problems.push("no test passed");
-  // Failed tests explain a non-zero status; without one, or with an error
-  // outside of any test, something else broke and must not pass unseen.
+  // A non-zero status is explained by failed tests. Without any, or with an
+  // error outside of any test, something else failed and must be reported.
   const isUnhandled = readFileSync(logFile, "utf8").includes(UNHANDLED_MARK);
   if (vitestStatus !== "0" && (failed.length === 0 || isUnhandled)) {
     problems.push(`vitest ended with status ${vitestStatus}`);
--- a/bench/clairvoyant.ts
+++ b/bench/clairvoyant.ts
@@ -1,5 +1,6 @@
 /**
- * A bound on goodput that no router can beat, since it knows every length.
+ * Computes an upper bound of goodput, as for a scheduler that knows the length
+ * of every answer in advance.
  *
  * @module
  */
@@ -7,7 +8,7 @@
 import { computeTokenMs } from "./support/workload.ts";
 import type { BenchRequest } from "./support/workload.ts";
 
-/** What the bound is computed from. */
+/** Inputs of the bound. */
 export interface BoundOptions {
   requests: readonly BenchRequest[];
   engine: EngineOptions;
@@ -16,17 +17,16 @@
 }
 
 /**
- * The most tokens that callers can have by `durationMs`, whoever schedules.
+ * Returns an upper bound of the tokens that callers can receive by
+ * `durationMs`, for any scheduler.
  *
- * It bounds tokens of model answers from above and nothing else. A token takes
- * at least its part of the step of a full batch, and a prompt at least the
- * time for the part that it shares with no other request; no request has
- * tokens sooner than its batch of one would give them. Within the replicas'
- * whole time it takes the requests with the most tokens for their work, in
- * parts where one does not fit. It leaves out arrival order, latency targets,
- * half-empty batches, the first computation of shared prompt parts and every
- * fault, so it is above what is possible, and further above in scenarios with
- * faults.
+ * Each token costs at least its share of a step with a full batch, each prompt
+ * at least the prefill of its unique part, and no request generates faster than
+ * in a batch of one. The bound fills the replicas' total time with the requests
+ * that yield the most tokens for their work, the last one in part (a fractional
+ * knapsack). It ignores arrival order, latency targets, partly filled batches,
+ * the first prefill of shared prefixes and faults, so it cannot be reached, and
+ * is looser in scenarios with faults.
  */
 export function computeGoodputBound(options: BoundOptions): number {
   const { requests, replicas, durationMs } = options;
@@ -54,6 +54,6 @@
   const aloneMs = engine.baseMs + engine.perRunningMs;
   const inTime = (durationMs - request.at) / aloneMs;
   const tokens = Math.max(1e-9, Math.min(request.tokens, inTime));
-  const promptMs = request.ownPromptTokens * engine.prefillMsPerToken;
+  const promptMs = request.uniquePromptTokens * engine.prefillMsPerToken;
   return { tokens, workMs: tokens * computeTokenMs(engine) + promptMs };
 }
--- a/bench/experiments/acquire_watch.ts
+++ b/bench/experiments/acquire_watch.ts
@@ -1,6 +1,6 @@
 /**
- * Stands before the owners of a fleet: passes each acquire call on as it would
- * be had the VMs exchanged clock times, and notes what became of it.
+ * Intercepts the acquire calls to the owners of a fleet: changes their ages as
+ * if the VMs had exchanged ages or clock times, and records the answers.
  *
  * @module
  */
@@ -11,19 +11,19 @@
 import type { WatchedTicket } from "./grant_order.ts";
 
 /**
- * Refusals within so long of the true time to give up are no false ones: the
- * owner looks at its queue once in a tick.
+ * Refusals earlier than the true deadline by at most this are not counted as
+ * false, because the owner checks its queue once per tick.
  */
 const OWNER_TICK_MS = 100;
 
-/** How VMs tell one another of times. */
+/** How VMs exchange times. */
 export type TimeForm =
-  /** The project's own way. The time on the wire is not counted. */
+  /** As in production: ages, which do not include the network delay. */
   | { kind: "ages" }
-  /** Clock times; a VM's clock is its offset ahead of the true time. */
+  /** Clock times; each VM's clock is ahead of the true time by its offset. */
   | { kind: "clock_times"; offsets: ReadonlyMap<VmId, number> };
 
-/** What a watch needs to know. */
+/** Options of a watch. */
 export interface AcquireWatchOptions {
   clock: Clock;
   form: TimeForm;
@@ -31,16 +31,16 @@
   getDelay: (from: VmId, to: VmId) => number;
 }
 
-/** Refusals of one run for want of time. */
+/** Refusals with `deadline_unreachable` in one run. */
 export interface LateRefusals {
   all: number;
-  /** From the queue, before the true time to give up. */
+  /** Refused from the queue, before the true deadline. */
   tooEarlyInQueue: number;
-  /** On coming, by an owner that took the request for older than it was. */
+  /** Refused on arrival, by an owner that overestimated the request's age. */
   doubtfulOnComing: number;
 }
 
-/** Every ticket that came to the watched owners. */
+/** Records the tickets that reached the watched owners. */
 export class AcquireWatch {
   readonly refusals: LateRefusals = {
     all: 0,
@@ -59,7 +59,7 @@
     return new AcquireWatch(options);
   }
 
-  /** Puts itself before the owners of `vm`. */
+  /** Intercepts the calls to the owners of `vm`. */
   watch(vm: VmId, owners: ShardOwners): void {
     const acquire = owners.acquire.bind(owners);
     owners.acquire = async (call) => {
@@ -85,7 +85,7 @@
       ageMs: ageMs + errorMs,
       deadlineInMs: call.deadlineInMs - wireMs - errorMs,
     };
-    // A resumed stream keeps its place by another rule than its arrival.
+    // The queue position of a resumed stream does not depend on its arrival.
     if (call.doneTokens > 0) return { received, ticket: undefined };
     const ticket = this.#tickets.get(call.ticket) ?? {
       ticket: call.ticket,
@@ -107,7 +107,7 @@
     if (form.kind === "ages") return -call.wireMs;
     const { offsets } = form;
     const ahead = offsets.get(call.owner)! - offsets.get(call.from)!;
-    // Nothing arrives in the future; a receiver of clock times would know.
+    // An age is never negative: a receiver of clock times would clamp it.
     return Math.max(ahead, -call.ageMs);
   }
 
--- a/bench/experiments/ages.ts
+++ b/bench/experiments/ages.ts
@@ -1,6 +1,7 @@
 /**
- * Ages against clock times between VMs whose clocks differ: the order of
- * grants, targets met, refusals for want of time.
+ * Compares sending ages with sending clock times between VMs whose clocks
+ * differ: order of grants, targets met and refusals with
+ * `deadline_unreachable`.
  *
  * @module
  */
@@ -16,7 +17,7 @@
 
 const SCENARIO = "overload";
 const DURATION_MS = 45_000;
-/** By then the first-come queues stand full for most of the run. */
+/** Long enough that the first-come queues are full for most of the run. */
 const FIRST_COME_MS: Record<User, number> = {
   lectura_llana: 45_000,
   kontrola_sever: 20_000,
@@ -24,37 +25,37 @@
 const DELAY_SEED = 100;
 const OFFSET_SEED = 200;
 
-/** One-way delays between VMs in milliseconds, one drawn for each link. */
+/** Range of the one-way delay between VMs, drawn for each link. */
 export interface DelayRange {
   fromMs: number;
   toMs: number;
 }
 
-/** Which order the owner keeps within a class. */
+/** Order of grants within a class. */
 export type OrderMode =
   /** As in production. */
   | "production"
-  /** First come, first served: out of order only by the clocks. */
+  /** First come, first served: only clock errors change the order. */
   | "first_come";
 
-/** One run. */
+/** Options of one run. */
 export interface AgesOptions {
   user: User;
   seed: number;
   mode: OrderMode;
   delay: DelayRange;
-  /** Largest clock offset in milliseconds; "ages" exchanges no clock times. */
+  /** Maximum clock offset in milliseconds, or "ages" to send ages. */
   form: "ages" | number;
-  /** Shorter runs for tests. */
+  /** Overrides the duration; tests use shorter runs. */
   durationMs?: number;
 }
 
-/** What one run came to. */
+/** Figures of one run. */
 export interface AgesFigures {
   options: AgesOptions;
-  /** Within a class. */
+  /** Pairs within a class. */
   byClass: PairCount;
-  /** Within a class and a workspace. */
+  /** Pairs within a class and a workspace. */
   byWorkspace: PairCount;
   classes: Record<
     string,
@@ -66,17 +67,17 @@
   broken: Record<string, number>;
 }
 
-const DECISIONS: Record<OrderMode, Partial<SchedulerFeatures>> = {
+const FEATURES: Record<OrderMode, Partial<SchedulerFeatures>> = {
   production: {},
   first_come: { deadlineOrder: false, fairShare: false },
 };
 
-/** Runs once; the same options give the same figures. */
+/** Executes one run; deterministic for the same options. */
 export async function runAges(options: AgesOptions): Promise<AgesFigures> {
   const { user, seed, mode } = options;
   let watch: AcquireWatch | undefined;
   const buildRouter: BuildRouter = (parts) => {
-    const fleet = RuntimeFleet.create({ ...parts, features: DECISIONS[mode] });
+    const fleet = RuntimeFleet.create({ ...parts, features: FEATURES[mode] });
     watch = watchFleet(fleet, { clock: parts.clock, options });
     return fleet;
   };
@@ -125,7 +126,7 @@
   return watch;
 }
 
-/** Delays even over the logarithm, the same both ways. */
+/** Draws log-uniform delays that are equal in both directions. */
 function buildDelays(
   fleet: RuntimeFleet,
   { delay, seed }: AgesOptions,
@@ -155,8 +156,8 @@
   return { kind: "clock_times", offsets };
 }
 
-function pickOffset(mostMs: number, random: Random): number {
-  return mostMs * (2 * random.next() - 1);
+function pickOffset(maxMs: number, random: Random): number {
+  return maxMs * (2 * random.next() - 1);
 }
 
 function formatLink(from: VmId, to: VmId): string {
--- a/bench/experiments/ages_main.ts
+++ b/bench/experiments/ages_main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the comparison of ages and clock times for one user, prints its table
+ * Runs the comparison of ages and clock times for one user, prints the table
  * and saves the figures.
  *
  * @module
@@ -48,14 +48,18 @@
     .option("offset", {
       type: "number",
       array: true,
-      describe: "Only clock times with these offsets, on near VMs",
+      describe:
+        "Run only clock times with these offsets in ms, between near VMs",
     })
     .option("commit", {
       type: "string",
       default: "",
-      describe: "The commit that is measured, for the saved figures",
+      describe: "Commit under measurement, stored with the figures",
+    })
+    .option("save", {
+      type: "string",
+      describe: "File to which the figures are written",
     })
-    .option("save", { type: "string", describe: "File for the figures" })
     .strict()
     .parseAsync();
   const variants = args.offset === undefined
--- a/bench/experiments/ages_table.ts
+++ b/bench/experiments/ages_table.ts
@@ -1,5 +1,5 @@
 /**
- * The table of the comparison of ages and clock times.
+ * Renders the comparison of ages and clock times as a table.
  *
  * @module
  */
@@ -18,7 +18,7 @@
   "tokens/s",
 ];
 
-/** One row for each variant, summed over its seeds, as Markdown. */
+/** Renders a Markdown table with one row per variant, summed over its seeds. */
 export function renderAges(runs: readonly AgesFigures[]): string {
   const groups = new Map<string, AgesFigures[]>();
   for (const run of runs) {
@@ -60,7 +60,7 @@
   return formatShare(sum.outOfOrder, sum.pairs, 2);
 }
 
-/** The classes that missed any target, with the share that met theirs. */
+/** Formats the share of requests that met their targets, for classes below 1. */
 function formatMet(group: readonly AgesFigures[]): string {
   const parts = Object.keys(group[0]!.classes).flatMap((name) => {
     const counts = group.map((run) => run.classes[name]!);
--- a/bench/experiments/cache_handover.ts
+++ b/bench/experiments/cache_handover.ts
@@ -1,7 +1,7 @@
 /**
- * Does it pay to hand a leaving engine's cached prefixes on to the others?
- * One engine of a user's pool leaves; its shared prefixes are copied to one
- * other engine, to all, or not at all.
+ * Measures the benefit of copying a leaving engine's cached prefixes. One
+ * engine of a user's pool leaves; its shared prefixes are copied to one other
+ * engine, to all others, or not at all.
  *
  * @module
  */
@@ -26,61 +26,64 @@
 import { addSharedPrompt, countSharedBlocks } from "./shared_prompts.ts";
 
 const DURATION_MS = 50_000;
-const LEAVE_AT_MS = 20_000;
-/** Load report and poll: by then the owner sends the engine nothing new. */
-const KNOWN_AFTER_MS = 1_500;
-/** Requests that arrive in this time after the copy are looked at. */
+const LEAVING_AT_MS = 20_000;
+/**
+ * Delay of load report and poll, after which the owner sends the engine no new
+ * requests.
+ */
+const PROPAGATION_MS = 1_500;
+/** Only requests that arrive within this time after the copy are evaluated. */
 const WINDOW_MS = 25_000;
 const GRACE_MS = 120_000;
 const STEP_MS = 1_000;
-/** Room for a full batch of the longest prompts. */
+/** Capacity for a full batch of the longest prompts. */
 const MEMORY_TOKENS = 262_144;
 
-/** Who gets the prefixes of the engine that leaves. */
+/** Engines that receive the prefixes of the leaving engine. */
 export type HandOverTo = "none" | "one" | "all";
 
-/** What a copy costs, in milliseconds for each prompt token. */
+/** Cost of a copy in milliseconds per prompt token. */
 export interface CopyCost {
-  /** Until the prefix can be used; the engine goes on meanwhile. */
+  /** Delay until the prefix can be used; the engine continues meanwhile. */
   transferMs: number;
-  /** In which the receiving engine does no step. */
+  /** Time during which the receiving engine is stalled. */
   stallMs: number;
 }
 
-/** One run. */
+/** Options of one run. */
 export interface HandOverOptions {
   user: User;
   seed: number;
   handOverTo: HandOverTo;
   cost: CopyCost;
-  /** Prompt tokens that a workspace's requests of one class share. */
+  /** Number of prompt tokens shared by a workspace's requests of one class. */
   sharedTokens: number;
   prefillMsPerToken: number;
-  /** Over the engines' capacity to generate. */
+  /** Load relative to the engines' generation capacity. */
   load: number;
   durationMs?: number;
 }
 
-/** What one run came to. */
+/** Figures of one run. */
 export interface HandOverFigures {
   options: HandOverOptions;
-  /** Prompt tokens copied, summed over the receivers. */
+  /** Copied prompt tokens, summed over the receivers. */
   copiedTokens: number;
-  /** Groups of requests with a common prefix that the leaver held. */
+  /** Groups of requests whose common prefix the leaving engine had cached. */
   heldGroups: number;
-  /** Of the requests in the window after the copy. */
+  /** Figures of the requests that arrived within the window after the copy. */
   window: {
     offered: number;
-    /** Whole and within every target. */
+    /** Complete and within all targets. */
     met: number;
     firstTokenMeanMs: number;
     firstTokenP99Ms: number;
-    /** Prompt tokens that the other engines worked through. */
+    /** Prompt tokens prefilled by the other engines. */
     prefillTokens: number;
   };
 }
 
-interface World {
+interface RunContext {
   options: HandOverOptions;
   clock: VirtualClock;
   upstreams: VirtualUpstreams;
@@ -88,7 +91,7 @@
   engine: EngineOptions;
 }
 
-/** Runs once; the same options give the same figures. */
+/** Executes one run; deterministic for the same options. */
 export async function runHandOver(
   options: HandOverOptions,
 ): Promise<HandOverFigures> {
@@ -125,19 +128,19 @@
   }).filter(({ kind }) => kind === "model");
   for (const one of requests) addSharedPrompt(one, sharedTokens);
   await fleet.start();
-  const world = { options, clock, upstreams, requests, engine };
+  const context = { options, clock, upstreams, requests, engine };
   const traces: RequestTrace[] = [];
   const startMs = clock.now();
-  void sendRequests(world, { fleet, traces, startMs });
-  await clock.run(LEAVE_AT_MS);
-  const [leaver] = upstreams.engines.keys();
-  upstreams.engines.get(leaver!)!.setLeaving(true);
-  await clock.run(KNOWN_AFTER_MS);
+  void sendRequests(context, { fleet, traces, startMs });
+  await clock.run(LEAVING_AT_MS);
+  const [leavingEngine] = upstreams.engines.keys();
+  upstreams.engines.get(leavingEngine!)!.setLeaving(true);
+  await clock.run(PROPAGATION_MS);
   const fromMs = clock.now();
-  const before = countPrefill(upstreams, leaver!);
-  const copied = copyPrefixes(world, leaver!);
+  const before = countPrefill(upstreams, leavingEngine!);
+  const copied = copyPrefixes(context, leavingEngine!);
   await clock.run(Math.min(WINDOW_MS, startMs + durationMs - clock.now()));
-  const prefillTokens = countPrefill(upstreams, leaver!) - before;
+  const prefillTokens = countPrefill(upstreams, leavingEngine!) - before;
   const toMs = clock.now();
   await waitForEnds(clock, { traces, untilMs: startMs + durationMs });
   await fleet.close();
@@ -160,7 +163,7 @@
 }
 
 async function sendRequests(
-  { clock, requests, options }: World,
+  { clock, requests, options }: RunContext,
   run: { fleet: RuntimeFleet; traces: RequestTrace[]; startMs: number },
 ): Promise<void> {
   const random = SeededRandom.create(options.seed + 3);
@@ -174,27 +177,30 @@
   }
 }
 
-/** Copies at once what the leaver holds; the receivers get it after a time. */
+/**
+ * Copies the leaving engine's cached prefixes; each receiver can use them after
+ * the transfer time.
+ */
 function copyPrefixes(
-  world: World,
-  leaver: VmId,
+  context: RunContext,
+  leavingEngine: VmId,
 ): { tokens: number; groups: number } {
-  const { upstreams, engine, options, clock } = world;
-  const source = upstreams.engines.get(leaver)!;
-  const held = [...listGroups(world)]
+  const { upstreams, engine, options, clock } = context;
+  const source = upstreams.engines.get(leavingEngine)!;
+  const cachedGroups = [...listGroups(context)]
     .map((prefixes) => source.listCached(prefixes))
     .filter(({ length }) => length > 0);
   const others = [...upstreams.engines]
-    .filter(([id]) => id !== leaver).map(([, core]) => core);
+    .filter(([id]) => id !== leavingEngine).map(([, core]) => core);
   const readyMs = new Map<EngineCore, number>();
   let tokens = 0;
-  held.forEach((prefixes, index) => {
+  cachedGroups.forEach((prefixes, index) => {
     const to = chooseReceivers(options.handOverTo, { others, index });
     for (const core of to) {
       if (core.listCached(prefixes).length === prefixes.length) continue;
       const count = prefixes.length * engine.tokensPerPrefix;
       tokens += count;
-      // One engine's imports come one after the other.
+      // An engine imports one prefix at a time.
       const atMs = (readyMs.get(core) ?? 0) + count * options.cost.transferMs;
       readyMs.set(core, atMs);
       clock.startTimer(atMs, () => {
@@ -204,7 +210,7 @@
       });
     }
   });
-  return { tokens, groups: held.length };
+  return { tokens, groups: cachedGroups.length };
 }
 
 function chooseReceivers(
@@ -215,24 +221,27 @@
   return to === "all" ? others : [others[index % others.length]!];
 }
 
-/** The shared prefixes of each workspace's requests of one class. */
-function listGroups(world: World): Iterable<string[]> {
+/** Lists the shared prefixes of each workspace and class. */
+function listGroups(context: RunContext): Iterable<string[]> {
   const groups = new Map<string, string[]>();
-  for (const request of world.requests) {
+  for (const request of context.requests) {
     const key = `${request.workspace}/${request.className}`;
     if (groups.has(key)) continue;
     const { body } = request.buildCall(0);
     const { prompt, model } = JSON.parse(new TextDecoder().decode(body));
-    const blocks = countSharedBlocks(world.options.sharedTokens);
+    const blocks = countSharedBlocks(context.options.sharedTokens);
     groups.set(key, computePrefixes(prompt, model).slice(0, blocks));
   }
   return groups.values();
 }
 
-function countPrefill(upstreams: VirtualUpstreams, leaver: VmId): number {
+function countPrefill(
+  upstreams: VirtualUpstreams,
+  leavingEngine: VmId,
+): number {
   let sum = 0;
   for (const [id, core] of upstreams.engines) {
-    if (id !== leaver) sum += core.counts.prefillTokens;
+    if (id !== leavingEngine) sum += core.counts.prefillTokens;
   }
   return sum;
 }
--- a/bench/experiments/cache_handover_main.ts
+++ b/bench/experiments/cache_handover_main.ts
@@ -1,5 +1,5 @@
 /**
- * Measures handing cached prefixes on for both users, prints the table and
+ * Measures the copying of cached prefixes for both users, prints the table and
  * saves the figures.
  *
  * @module
@@ -15,25 +15,28 @@
   type HandOverTo,
   runHandOver,
 } from "./cache_handover.ts";
-import { LEAST_SHARED_TOKENS } from "./shared_prompts.ts";
+import { MIN_SHARED_TOKENS } from "./shared_prompts.ts";
 
-/** 32 layers of 8 key and 8 value heads of 128 values of 2 bytes. */
+/**
+ * Cache bytes per token: 32 layers of 8 key and 8 value heads of 128 values of
+ * 2 bytes.
+ */
 const SMALL_MODEL_BYTES = 32 * (8 + 8) * 128 * 2;
-/** The same with 80 layers. */
+/** Cache bytes per token with 80 layers. */
 const LARGE_MODEL_BYTES = 80 * (8 + 8) * 128 * 2;
 /** 10 Gbit/s between upstreams. */
 const WIRE_BYTES_PER_MS = 1_250_000;
-/** Ten times that from memory to the device. */
+/** 100 Gbit/s from memory to the device. */
 const DEVICE_BYTES_PER_MS = 12_500_000;
 const FREE: CopyCost = { transferMs: 0, stallMs: 0 };
-/** Just within what the prefix hashes of one prompt cover. */
+/** Just below the length that the prefix hashes of one prompt cover. */
 const LONG_SHARED_TOKENS = 3_840;
 const USUAL_PREFILL_MS = 0.05;
 const SLOW_PREFILL_MS = 0.2;
 
 interface Case {
   name: string;
-  /** Of the cache, for each prompt token. */
+  /** Size of the cache per prompt token. */
   bytesPerToken: number;
   engines: Pick<
     HandOverOptions,
@@ -46,7 +49,7 @@
     name: "usual",
     bytesPerToken: SMALL_MODEL_BYTES,
     engines: {
-      sharedTokens: LEAST_SHARED_TOKENS,
+      sharedTokens: MIN_SHARED_TOKENS,
       prefillMsPerToken: USUAL_PREFILL_MS,
       load: 0.5,
     },
@@ -104,9 +107,12 @@
     .option("commit", {
       type: "string",
       default: "",
-      describe: "The commit that is measured, for the saved figures",
+      describe: "Commit under measurement, stored with the figures",
+    })
+    .option("save", {
+      type: "string",
+      describe: "File to which the figures are written",
     })
-    .option("save", { type: "string", describe: "File for the figures" })
     .strict()
     .parseAsync();
   const runs: HandOverFigures[] = [];
--- a/bench/experiments/grant_order.ts
+++ b/bench/experiments/grant_order.ts
@@ -1,35 +1,40 @@
 /**
- * Counts grants that came out of the order of arrival.
+ * Counts grants that were not in order of arrival.
  *
  * @module
  */
 import type { ClassName, TicketId, WorkspaceName } from "../../src/ids.ts";
 
-/** One ticket at the owner of its queue, in true time. */
+/** One ticket at the owner of its queue; times are true times. */
 export interface WatchedTicket {
   ticket: TicketId;
   className: ClassName;
   workspace: WorkspaceName;
-  /** When the request truly arrived at its entry VM. */
+  /** True time at which the request arrived at its entry VM. */
   arrivedAt: number;
-  /** When the ticket came to the owner. */
+  /** Time at which the ticket reached the owner. */
   enteredAt: number;
-  /** How much older than it is the owner takes the request to be. */
+  /** Error of the request's age as the owner sees it; positive if too old. */
   errorMs: number;
-  /** Place among the owner's grants; undefined for what was not granted. */
+  /**
+   * Time and position of the grant; undefined if the ticket was not granted.
+   */
   granted: { at: number; order: number } | undefined;
 }
 
-/** Pairs of tickets that waited together when one of them was granted. */
+/**
+ * Counts pairs of tickets of which both were waiting when the first was
+ * granted.
+ */
 export interface PairCount {
   pairs: number;
-  /** The one that arrived later was granted first. */
+  /** Pairs in which the later arrival was granted first. */
   outOfOrder: number;
 }
 
 /**
- * Counts pairs within one class, or within one class and workspace: between
- * workspaces the fair share decides and no clock.
+ * Counts pairs within one class, or within one class and workspace. Between
+ * workspaces the fair share determines the order, not the clocks.
  */
 export function countPairs(
   tickets: readonly WatchedTicket[],
--- a/bench/experiments/shared_prompts.ts
+++ b/bench/experiments/shared_prompts.ts
@@ -1,5 +1,5 @@
 /**
- * Longer common parts of the prompts of one workspace and class.
+ * Extends the common prefix of the prompts of one workspace and class.
  *
  * @module
  */
@@ -8,22 +8,22 @@
 import type { BenchRequest } from "../support/workload.ts";
 
 const CHARACTERS_PER_TOKEN = 4;
-/** What the workload's prompts have in common by themselves. */
-export const LEAST_SHARED_TOKENS = 512;
+/** Length of the common prefix that the workload's prompts already have. */
+export const MIN_SHARED_TOKENS = 512;
 
-/** Whole prefix blocks in the common part. */
+/** Counts the complete prefix blocks within the common prefix. */
 export function countSharedBlocks(sharedTokens: number): number {
   return Math.floor(
     sharedTokens * CHARACTERS_PER_TOKEN / PREFIX_BLOCK_CHARACTERS,
   );
 }
 
-/** Puts a common text before the request's prompt. */
+/** Prepends a common text to the request's prompt. */
 export function addSharedPrompt(
   request: BenchRequest,
   sharedTokens: number,
 ): void {
-  const extra = (sharedTokens - LEAST_SHARED_TOKENS) * CHARACTERS_PER_TOKEN;
+  const extra = (sharedTokens - MIN_SHARED_TOKENS) * CHARACTERS_PER_TOKEN;
   if (extra <= 0) return;
   const start = `${request.workspace} ${request.className}: `;
   const text = start.repeat(Math.ceil(extra / start.length)).slice(0, extra);
--- a/bench/figures.ts
+++ b/bench/figures.ts
@@ -1,40 +1,40 @@
 /**
- * Figures of one run, from the evidence of it.
+ * Computes the figures of one run from its records.
  *
  * @module
  */
 import type { RequestClass } from "../src/version/index.ts";
 import {
-  type BrokenPromise,
-  collectFirstSends,
+  collectFirstAttempts,
   computeLongestStall,
-  findBrokenPromises,
+  findViolations,
   type RunEvidence,
+  type Violation,
 } from "./oracle.ts";
 import type { CallerResult, RequestTrace } from "./support/caller_result.ts";
 
 const MS_PER_SECOND = 1_000;
 
-/** Figures of one class. */
+/** Figures of one request class. */
 export interface ClassFigures {
   offered: number;
-  /** Whole and within every target. */
+  /** Complete and within all targets. */
   met: number;
-  /** Whole, but past a target. */
+  /** Complete, but beyond a target. */
   late: number;
   /** Refusals by code. */
   refused: Record<string, number>;
-  /** Broken off, wrong or never ended. */
+  /** Cut off, wrong or never ended. */
   lost: number;
-  /** Requests whose VM was destroyed; in no other count. */
+  /** Requests whose VM was destroyed; not part of any other count. */
   vmDestroyed: number;
-  /** Met over offered. */
+  /** `met` divided by `offered` without `vmDestroyed`. */
   attainment: number;
   firstTokenP50Ms: number;
   firstTokenP99Ms: number;
-  /** From arrival to the first send or the refusal. */
+  /** Longest time from arrival to the first send or the refusal. */
   longestWaitMs: number;
-  /** Longest time without progress while any waited. */
+  /** Longest time without progress while requests waited. */
   longestStallMs: number;
   maxWaitMs: number;
 }
@@ -46,30 +46,30 @@
   seed: number;
   router: string;
   classes: Record<string, ClassFigures>;
-  /** Tokens a second that callers had in useful answers. */
+  /** Tokens per second that callers received in useful answers. */
   goodput: number;
-  /** The clairvoyant bound on it. */
+  /** Clairvoyant upper bound of `goodput`. */
   goodputBound: number;
   generatedTokens: number;
-  /** Generated tokens that no caller had in useful time. */
+  /** Generated tokens that were not part of a useful answer. */
   wastedTokens: number;
   prefillTokens: number;
-  /** Sends to upstreams over requests. */
+  /** Attempts per request. */
   sendsPerRequest: number;
   preemptions: number;
   broken: Record<string, number>;
-  /** The first few, in words. */
+  /** The first few violations as text. */
   brokenExamples: string[];
 }
 
-/** What a run's figures are computed from. */
+/** Inputs of a run's figures. */
 export interface FiguresOptions {
   scenario: string;
   user: string;
   seed: number;
   router: string;
   evidence: RunEvidence;
-  /** Start of the arrivals on the clock. */
+  /** Time at which the arrivals started. */
   startMs: number;
   durationMs: number;
   goodputBoundTokens: number;
@@ -82,7 +82,7 @@
 /** Computes the figures of a finished run. */
 export function computeFigures(options: FiguresOptions): RunFigures {
   const { evidence, scenario, user, seed, router } = options;
-  const broken = findBrokenPromises(evidence);
+  const violations = findViolations(evidence);
   const useful = countUsefulTokens(options);
   const seconds = options.durationMs / MS_PER_SECOND;
   return {
@@ -96,20 +96,20 @@
     generatedTokens: options.generatedTokens,
     wastedTokens: options.generatedTokens - useful.all,
     prefillTokens: options.prefillTokens,
-    sendsPerRequest: evidence.sends.length / evidence.traces.length,
+    sendsPerRequest: evidence.attempts.length / evidence.traces.length,
     preemptions: evidence.preemptions.length,
-    broken: countPromises(broken),
-    brokenExamples: broken.slice(0, MAX_EXAMPLES)
-      .map(({ promise, tag, detail }) => `${promise} (${tag}): ${detail}`),
+    broken: countViolations(violations),
+    brokenExamples: violations.slice(0, MAX_EXAMPLES)
+      .map(({ guarantee, tag, detail }) => `${guarantee} (${tag}): ${detail}`),
   };
 }
 
-function countPromises(
-  broken: readonly BrokenPromise[],
+function countViolations(
+  violations: readonly Violation[],
 ): Record<string, number> {
   const counts: Record<string, number> = {};
-  for (const { promise } of broken) {
-    counts[promise] = (counts[promise] ?? 0) + 1;
+  for (const { guarantee } of violations) {
+    counts[guarantee] = (counts[guarantee] ?? 0) + 1;
   }
   return counts;
 }
@@ -167,7 +167,7 @@
 function computeClasses(
   evidence: RunEvidence,
 ): Record<string, ClassFigures> {
-  const firstSends = collectFirstSends(evidence.sends);
+  const firstAttempts = collectFirstAttempts(evidence.attempts);
   const classes: Record<string, ClassFigures> = {};
   for (const requestClass of evidence.snapshot.classes.values()) {
     const traces = evidence.traces
@@ -176,7 +176,7 @@
     classes[requestClass.name] = computeClass(traces, {
       requestClass,
       evidence,
-      firstSends,
+      firstAttempts,
     });
   }
   return classes;
@@ -187,10 +187,10 @@
   options: {
     requestClass: RequestClass;
     evidence: RunEvidence;
-    firstSends: ReadonlyMap<number, number>;
+    firstAttempts: ReadonlyMap<number, number>;
   },
 ): ClassFigures {
-  const { requestClass, evidence, firstSends } = options;
+  const { requestClass, evidence, firstAttempts } = options;
   const refused: Record<string, number> = {};
   const firstTokens: number[] = [];
   let met = 0;
@@ -201,7 +201,7 @@
   for (const trace of traces) {
     const { request, view, vm } = trace;
     const result = evidence.results.get(request.tag)!;
-    const leftAt = firstSends.get(request.tag) ?? view.endedAt ?? Infinity;
+    const leftAt = firstAttempts.get(request.tag) ?? view.endedAt ?? Infinity;
     longestWaitMs = Math.max(longestWaitMs, leftAt - request.at);
     const { end } = result;
     if (end.kind === "whole") {
--- a/bench/fleet_changes.ts
+++ b/bench/fleet_changes.ts
@@ -1,6 +1,7 @@
 /**
- * Measures how long changes take to be known everywhere, in virtual time:
- * versions, dead VMs, drains, upstreams that leave, and false suspicion.
+ * Measures how long changes take to reach all VMs, in virtual time:
+ * configuration versions, dead VMs, drains and leaving upstreams. Also measures
+ * false suspicions.
  *
  * @module
  */
@@ -18,7 +19,7 @@
 const UPSTREAM = toId<VmId>("up-0");
 const KEY = "pool/0";
 
-/** Milliseconds of virtual time. */
+/** Quantiles in milliseconds of virtual time. */
 export interface Spread {
   p50: number;
   p99: number;
@@ -26,14 +27,17 @@
   runs: number;
 }
 
-/** How a fleet's change is measured. */
+/** Options of a measurement. */
 export interface ChangeOptions {
   vms: number;
   runs: number;
   seed: number;
 }
 
-/** From publication to in force on the last VM; `readers` reach the service. */
+/**
+ * Time from publication until the version is in force on all VMs; only
+ * `readers` VMs reach the service.
+ */
 export async function collectVersionTimes(
   options: ChangeOptions & { readers?: number },
 ): Promise<Spread> {
@@ -59,7 +63,7 @@
   return computeSpread(times);
 }
 
-/** From the end of an owner's process to another owner at every VM. */
+/** Time from the end of an owner's process until all VMs use another owner. */
 export function collectOwnerLostTimes(options: ChangeOptions): Promise<Spread> {
   return collectTimes(options, async (fleet) => {
     const owner = fleet.list()[0]!.membership.findOwner(KEY)!;
@@ -71,7 +75,7 @@
   });
 }
 
-/** From silence of a VM on every link until all others hold it for dead. */
+/** Time from the isolation of a VM until all others consider it unreachable. */
 export function collectSilenceTimes(options: ChangeOptions): Promise<Spread> {
   return collectTimes(options, async (fleet) => {
     const [silent, ...others] = fleet.list();
@@ -84,7 +88,7 @@
   });
 }
 
-/** From the start of a VM's drain until all others know. */
+/** Time from the start of a VM's drain until all VMs have been notified. */
 export function collectDrainTimes(options: ChangeOptions): Promise<Spread> {
   return collectTimes(options, async (fleet) => {
     const [draining] = fleet.list();
@@ -97,7 +101,7 @@
   });
 }
 
-/** From an upstream's own word at one VM until none gives it new work. */
+/** Time from an upstream's notice at one VM until no VM sends it new work. */
 export function collectLeavingTimes(
   options: ChangeOptions,
 ): Promise<Spread> {
@@ -113,7 +117,10 @@
   });
 }
 
-/** From the start of a VM with an empty memory until it can serve. */
+/**
+ * Time from the restart of a VM without state until it is ready, with the
+ * service down.
+ */
 export function collectRestartTimes(options: ChangeOptions): Promise<Spread> {
   return collectTimes(options, async (fleet) => {
     fleet.service.isDown = true;
@@ -125,7 +132,7 @@
   });
 }
 
-/** Wrong suspicions and deaths of VMs that are well, an hour and VM. */
+/** Rate at which healthy VMs are considered unreachable, per VM and hour. */
 export async function collectFalseDeaths(
   options: { vms: number; seed: number; lossRate: number; ms: number },
 ): Promise<{ deathsPerVmHour: number }> {
@@ -134,11 +141,11 @@
   let deaths = 0;
   const ids = fleet.list().map((vm) => vm.listed.id);
   for (const { membership } of fleet.list()) {
-    let known = 0;
+    let unreachableCount = 0;
     membership.onChange(() => {
       const now = ids.filter((id) => !membership.isReachable(id)).length;
-      if (now > known) deaths += now - known;
-      known = now;
+      if (now > unreachableCount) deaths += now - unreachableCount;
+      unreachableCount = now;
     });
   }
   await fleet.clock.run(options.ms);
--- a/bench/fleet_changes_main.ts
+++ b/bench/fleet_changes_main.ts
@@ -1,5 +1,6 @@
 /**
- * Prints how long changes take, one line of JSON for each measure and size.
+ * Prints how long changes take to propagate, one line of JSON per measure and
+ * fleet size.
  *
  * @module
  */
--- a/bench/fleet_control.ts
+++ b/bench/fleet_control.ts
@@ -1,5 +1,5 @@
 /**
- * Measures what VMs spend on watching each other, in virtual time: messages,
+ * Measures the control-plane cost of membership in virtual time: messages,
  * bytes, processor time, memory and calls to the configuration service.
  *
  * @module
@@ -11,32 +11,37 @@
 
 const WARM_UP_MS = 10_000;
 const SUMMARY_EVERY_MS = 500;
-/** VMs to one shard whose owner announces summaries. */
+/** Number of VMs per shard whose owner announces summaries. */
 const VMS_PER_SHARD = 4;
 const BYTES_PER_MB = 1_048_576;
 
-/** Means for one VM, unless said otherwise. */
+/** Means per VM, unless stated otherwise. */
 export interface ControlFigures {
   vms: number;
-  /** Sent and received, a second. */
+  /** Sent and received messages. */
   messagesPerSecond: number;
-  /** Of JSON, sent and received, without HTTP headers, a second. */
+  /** Sent and received JSON, without HTTP headers. */
   bytesPerSecond: number;
-  /** The VM with the most of them. */
+  /** Largest value of any VM. */
   mostBytesPerSecond: number;
-  /** Processor time of one core, in percent, with the bench's own share. */
+  /** Processor time in percent of one core, including the benchmark's own. */
   processorPercent: number;
-  /** Heap for one VM's parts. */
+  /** Heap of one VM's components. */
   heapMegabytes: number;
-  /** Calls of the whole fleet to the configuration service, a minute. */
+  /** Calls of the whole fleet to the configuration service. */
   serviceCallsPerMinute: number;
-  /** The same without any watch or read cut short by a change. */
+  /** VMs that watch the configuration service at the end of the run. */
   watchers: number;
-  /** VMs suspected or held for dead at the end; none has failed. */
+  /**
+   * Pairs of VMs in which one suspects the other or considers it dead at the
+   * end; no VM has failed.
+   */
   falselyDead: number;
 }
 
-/** Runs `count` VMs for `ms` with summaries of every shard. */
+/**
+ * Runs `count` VMs for `ms` while owners announce summaries of their shards.
+ */
 export async function runFleetControl(
   count: number,
   ms: number,
@@ -70,13 +75,13 @@
     serviceCallsPerMinute: (fleet.service.calls - callsBefore) / seconds * 60,
     watchers:
       fleet.list().filter((vm) => vm.follower.listVersions().isWatcher).length,
-    falselyDead: countDoubts(fleet),
+    falselyDead: countSuspicions(fleet),
   };
   for (const vm of fleet.list()) fleet.stopVm(vm.listed.id);
   return figures;
 }
 
-/** The slope and the value at zero of a line through the points. */
+/** Fits a line by least squares; `start` is its value at zero. */
 export function computeLine(
   points: readonly [number, number][],
 ): { slope: number; start: number } {
@@ -131,16 +136,16 @@
   };
 }
 
-function countDoubts(fleet: VirtualFleet): number {
-  let doubts = 0;
+function countSuspicions(fleet: VirtualFleet): number {
+  let suspicions = 0;
   for (const vm of fleet.list()) {
     for (const other of fleet.list()) {
       if (vm.membership.findSuspicion(other.listed.id) !== undefined) {
-        doubts += 1;
+        suspicions += 1;
       }
     }
   }
-  return doubts;
+  return suspicions;
 }
 
 function readHeap(): number {
--- a/bench/fleet_control_main.ts
+++ b/bench/fleet_control_main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints what control costs at several sizes, as a table, the lines through it
- * and JSON. `--expose-gc` makes the heap figures exact.
+ * Prints the control-plane cost at several fleet sizes: a table, the fitted
+ * lines and JSON. Run with `--expose-gc` for exact heap figures.
  *
  * @module
  */
--- a/bench/limits.ts
+++ b/bench/limits.ts
@@ -1,5 +1,5 @@
 /**
- * Measures how far the workspace limits are overshot, in virtual time.
+ * Measures by how much workspaces exceed their limits, in virtual time.
  *
  * @module
  */
@@ -21,14 +21,17 @@
 const TOKENS = 500;
 const MANY_WORKSPACES = 3_400;
 
-/** Admitted over allowed. */
+/** Admitted requests relative to the limit. */
 export interface LimitFigures {
   scenario: string;
-  /** Most requests in any minute, over the limit. */
+  /** Most requests in any minute, divided by the limit. */
   worstMinute: number;
-  /** All requests from 30 s on, over the limit for that time. */
+  /** All requests after the first 30 s, divided by the limit for that time. */
   overall: number;
-  /** Calls from one VM to another or itself, a second, of the whole fleet. */
+  /**
+   * Limit calls per second in the whole fleet, including those of a VM to
+   * itself.
+   */
   callsPerSecond: number;
   refused: number;
 }
@@ -55,10 +58,12 @@
   },
 };
 
-/** Names of the scenarios. */
+/** Names of all scenarios. */
 export const LIMIT_SCENARIOS: readonly string[] = Object.keys(FAULTS);
 
-/** Runs three times the limit through 8 VMs with the scenario's fault. */
+/**
+ * Sends three times the limit through 8 VMs and injects the scenario's fault.
+ */
 export async function runLimitScenario(
   scenario: string,
   options: { seed: number; requestsPerMinute?: number; loadedVms?: number },
@@ -104,7 +109,7 @@
     .reduce((sum, calls) => sum + calls, 0);
 }
 
-/** The most admissions in any window of a minute. */
+/** Returns the most admissions in any window of one minute. */
 export function countWorstMinute(admissions: readonly Admission[]): number {
   let first = 0;
   let worst = 0;
@@ -124,23 +129,23 @@
   return count / (requestsPerMinute * (RUN_MS - startMs) / MINUTE_MS);
 }
 
-/** Figures of many workspaces, each with a little traffic. */
+/** Figures for many workspaces with little traffic each. */
 export interface ManyWorkspacesFigures {
   workspaces: number;
   requestsPerSecond: number;
   callsPerSecond: number;
-  /** Microseconds, with the bench's own share. */
+  /** Processor time in microseconds, including the benchmark's own. */
   processorPerRequest: number;
-  /** Largest count of one VM. */
+  /** Largest value of any VM. */
   heldPerVm: number;
   bucketsPerVm: number;
-  /** Heap of all VMs' limits, divided by the VMs. */
+  /** Heap of all VMs' limits, divided by the number of VMs. */
   bytesPerVm: number;
-  /** Held limits and buckets of all VMs two minutes after the load. */
+  /** Limits and buckets left on all VMs two minutes after the load. */
   leftAfterIdle: number;
 }
 
-/** Runs a little traffic of many workspaces through 8 VMs. */
+/** Sends little traffic of many workspaces through 8 VMs. */
 export async function runManyWorkspaces(
   seed: number,
   workspaces = MANY_WORKSPACES,
--- a/bench/limits_main.ts
+++ b/bench/limits_main.ts
@@ -1,6 +1,6 @@
 /**
- * Prints the figures of the workspace limits; `--expose-gc` makes the bytes
- * exact.
+ * Prints the figures of the workspace limits. Run with `--expose-gc` for exact
+ * heap figures.
  *
  * @module
  */
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench`: scenarios in virtual time, ours against naive and against
- * ours with one decision switched off.
+ * `npm run bench`: runs scenarios in virtual time and compares this project's
+ * router with a naive one and with itself with one scheduler feature off.
  *
  * @module
  */
@@ -14,15 +14,15 @@
 import type { RunFigures } from "./figures.ts";
 import { renderComparison, renderFigures } from "./report.ts";
 import {
-  buildNaive,
-  buildOurs,
+  buildNaiveRouter,
   type BuildRouter,
+  buildRuntimeRouter,
   runScenario,
 } from "./run_scenario.ts";
 import { SCENARIOS } from "./scenarios.ts";
 import { type User, USERS } from "./support/example_records.ts";
 
-const DECISIONS = Object.keys(ALL_FEATURES) as (keyof SchedulerFeatures)[];
+const FEATURES = Object.keys(ALL_FEATURES) as (keyof SchedulerFeatures)[];
 const EACH = "each";
 
 async function main(): Promise<void> {
@@ -32,14 +32,14 @@
       array: true,
       choices: Object.keys(SCENARIOS),
       default: Object.keys(SCENARIOS),
-      describe: "Scenarios to run; all by default",
+      describe: "Scenarios to run (default: all)",
     })
     .option("user", {
       type: "string",
       array: true,
       choices: USERS,
       default: USERS,
-      describe: "Whose records to run with; both by default",
+      describe: "User whose records are run (default: both)",
     })
     .option("seed", { type: "number", default: 1 })
     .option("router", {
@@ -49,15 +49,18 @@
     .option("ablate", {
       type: "string",
       array: true,
-      choices: [...DECISIONS, EACH],
+      choices: [...FEATURES, EACH],
       default: [] as string[],
-      describe: "Decisions to switch off, one run for each",
+      describe: "Scheduler features to turn off, one run for each",
     })
     .option("json", { type: "boolean", default: false })
-    .option("save", { type: "string", describe: "Write the figures to a file" })
+    .option("save", {
+      type: "string",
+      describe: "File to which the figures are written",
+    })
     .option("against", {
       type: "string",
-      describe: "Compare with figures saved before",
+      describe: "File with saved figures to compare with",
     })
     .strict()
     .parseAsync();
@@ -83,12 +86,12 @@
   router: "both" | "ours" | "naive",
   ablate: readonly string[],
 ): [string, BuildRouter][] {
-  const names = ablate.includes(EACH) ? DECISIONS : ablate;
+  const names = ablate.includes(EACH) ? FEATURES : ablate;
   const routers: [string, BuildRouter][] = [];
-  if (router !== "naive") routers.push(["ours", buildOurs()]);
-  if (router !== "ours") routers.push(["naive", buildNaive]);
+  if (router !== "naive") routers.push(["ours", buildRuntimeRouter()]);
+  if (router !== "ours") routers.push(["naive", buildNaiveRouter]);
   for (const name of names) {
-    routers.push([`without ${name}`, buildOurs({ [name]: false })]);
+    routers.push([`without ${name}`, buildRuntimeRouter({ [name]: false })]);
   }
   return routers;
 }
--- a/bench/naive/naive_fleet.ts
+++ b/bench/naive/naive_fleet.ts
@@ -20,7 +20,7 @@
   sinks: Set<CallerSink>;
 }
 
-/** Naive routers that know nothing of each other. */
+/** Independent naive routers, one per entry VM. */
 export class NaiveFleet extends BenchRouter {
   readonly #vms = new Map<VmId, NaiveVm>();
 
--- a/bench/naive/naive_router.ts
+++ b/bench/naive/naive_router.ts
@@ -1,6 +1,6 @@
 /**
- * The naive router that ours is measured against: round robin, first come
- * first served, retry on any error.
+ * The naive router that serves as the baseline: round robin, first come, first
+ * served, retry on any error.
  *
  * @module
  */
@@ -14,17 +14,17 @@
 import type { UpstreamPool } from "../../src/version/index.ts";
 import type { ExampleRecords } from "../support/example_records.ts";
 
-const MAX_TRIES = 4;
+const MAX_ATTEMPTS = 4;
 const FIRST_SERVER_ERROR = 500;
 
-/** What a naive router needs. */
+/** Options of a naive router. */
 export interface NaiveRouterOptions {
   vm: VmId;
   examples: ExampleRecords;
   upstreams: UpstreamTransport;
 }
 
-/** One VM: no queue, no limits, no classes, no memory but a counter. */
+/** The router of one VM; its only state is a round-robin counter. */
 export class NaiveRouter {
   readonly #options: NaiveRouterOptions;
   readonly #turns = new Map<string, number>();
@@ -38,19 +38,19 @@
     return new NaiveRouter(options);
   }
 
-  /** Answers one request; never rejects. */
+  /** Serves one request; never rejects. */
   async handle(request: CallerRequest, sink: CallerSink): Promise<void> {
     const pool = this.#findPool(request.path);
     this.#issued += 1;
     const id = `naive-${this.#options.vm}-${this.#issued}`;
-    for (let attempt = 1; attempt <= MAX_TRIES; attempt++) {
+    for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt++) {
       try {
         const answer = await this.#send(pool, request, { id, sink });
         await sendAnswer(answer, sink);
         return;
       } catch {
         if (sink.signal.aborted) return;
-        // Bytes that the caller has cannot be taken back.
+        // Bytes already sent to the caller cannot be revoked.
         if (sink.headWritten) return sink.destroy();
       }
     }
@@ -74,7 +74,7 @@
       signal: options.sink.signal,
     });
     if (answer.status < FIRST_SERVER_ERROR) return answer;
-    throw new Error(`The upstream answered ${answer.status}`);
+    throw new Error(`Upstream answered with status ${answer.status}`);
   }
 
   #findPool(path: string): UpstreamPool {
--- a/bench/oracle.ts
+++ b/bench/oracle.ts
@@ -1,5 +1,6 @@
 /**
- * Checks the promises that a run can break, from outside the router.
+ * Checks the router's guarantees on a finished run, from callers' and
+ * upstreams' records only.
  *
  * @module
  */
@@ -7,51 +8,53 @@
 import type { Snapshot } from "../src/version/index.ts";
 import type { Preemption } from "./support/bench_router.ts";
 import type { CallerResult, RequestTrace } from "./support/caller_result.ts";
-import type { SendRecord } from "./support/virtual_upstreams.ts";
+import type { AttemptRecord } from "./support/virtual_upstreams.ts";
 import type { BenchRequest } from "./support/workload.ts";
 
-/** A promise that can be broken. */
-export type PromiseName =
-  /** Bytes of another request, or a whole answer that is not the right one. */
+/** A guarantee that a run may violate. */
+export type GuaranteeName =
+  /** The caller received another request's bytes or a wrong complete answer. */
   | "wrong_answer"
-  /** A non-idempotent call was carried out more than once. */
+  /** A non-idempotent call was executed more than once. */
   | "doubled"
-  /** "Not run" was said of a request that ran. */
+  /** A request that ran was reported as not run. */
   | "false_not_run"
-  /** A higher tier was shed while a lower one waited and was served later. */
+  /**
+   * A request was shed while one of a lower tier waited and was served later.
+   */
   | "higher_tier_shed"
-  /** A slot was taken back and given to a lower tier. */
+  /** A preempted slot was granted to a lower tier. */
   | "preempted_for_lower_tier"
-  /** A class waited longer than its stated bound. */
+  /** A class waited longer than its `max_wait_ms`. */
   | "starved"
-  /** The caller was never told anything. */
+  /** The caller's connection was never ended. */
   | "unaccounted";
 
-/** One broken promise. */
-export interface BrokenPromise {
-  promise: PromiseName;
+/** One violated guarantee. */
+export interface Violation {
+  guarantee: GuaranteeName;
   tag: number;
   detail: string;
 }
 
-/** Everything that was seen of one run. */
+/** Records of one run. */
 export interface RunEvidence {
   snapshot: Snapshot;
   traces: readonly RequestTrace[];
   results: ReadonlyMap<number, CallerResult>;
-  sends: readonly SendRecord[];
+  attempts: readonly AttemptRecord[];
   executions: ReadonlyMap<number, number>;
   preemptions: readonly Preemption[];
-  /** VMs that were destroyed; their callers' connections ended with them. */
+  /** VMs destroyed during the run, which closed their callers' connections. */
   destroyed: ReadonlySet<VmId>;
 }
 
-/** Finds every broken promise of one run. */
-export function findBrokenPromises(evidence: RunEvidence): BrokenPromise[] {
+/** Finds all violations of one run. */
+export function findViolations(evidence: RunEvidence): Violation[] {
   return [
     ...evidence.traces.flatMap((trace) => checkRequest(trace, evidence)),
-    ...findTierFaults(evidence),
-    ...findPreemptionFaults(evidence),
+    ...findTierViolations(evidence),
+    ...findPreemptionViolations(evidence),
     ...findStarvation(evidence),
   ];
 }
@@ -59,13 +62,13 @@
 function checkRequest(
   trace: RequestTrace,
   evidence: RunEvidence,
-): BrokenPromise[] {
+): Violation[] {
   const { request } = trace;
   const result = evidence.results.get(request.tag)!;
   const executions = evidence.executions.get(request.tag) ?? 0;
-  const broken: BrokenPromise[] = [];
-  const add = (promise: PromiseName, detail: string) => {
-    broken.push({ promise, tag: request.tag, detail });
+  const violations: Violation[] = [];
+  const add = (guarantee: GuaranteeName, detail: string) => {
+    violations.push({ guarantee, tag: request.tag, detail });
   };
   if (result.end.kind === "wrong" || !result.isOwnText) {
     add("wrong_answer", `${request.className}`);
@@ -79,31 +82,31 @@
     add("false_not_run", `${request.className}`);
   }
   if (result.end.kind === "open") add("unaccounted", `${request.className}`);
-  return broken;
+  return violations;
 }
 
 function hasRun(request: BenchRequest, evidence: RunEvidence): boolean {
   if (request.kind === "service") {
     return (evidence.executions.get(request.tag) ?? 0) > 0;
   }
-  return evidence.sends.some(({ tag, accepted }) =>
+  return evidence.attempts.some(({ tag, accepted }) =>
     accepted && tag === request.tag
   );
 }
 
-/** When each request first reached an upstream. */
-export function collectFirstSends(
-  sends: readonly SendRecord[],
+/** Returns when each request first reached an upstream, by tag. */
+export function collectFirstAttempts(
+  attempts: readonly AttemptRecord[],
 ): Map<number, number> {
   const first = new Map<number, number>();
-  for (const { tag, at } of sends) {
+  for (const { tag, at } of attempts) {
     if (!first.has(tag)) first.set(tag, at);
   }
   return first;
 }
 
-function findTierFaults(evidence: RunEvidence): BrokenPromise[] {
-  const firstSends = collectFirstSends(evidence.sends);
+function findTierViolations(evidence: RunEvidence): Violation[] {
+  const firstAttempts = collectFirstAttempts(evidence.attempts);
   const shed = evidence.traces.filter(({ request }) => {
     const { end } = evidence.results.get(request.tag)!;
     return end.kind === "refused" && end.code === "shed";
@@ -112,17 +115,21 @@
     const shedAt = view.endedAt!;
     const favoured = evidence.traces.find(({ request: other }) =>
       other.pool === request.pool && other.rank > request.rank &&
-      other.at < shedAt && (firstSends.get(other.tag) ?? -Infinity) > shedAt
+      other.at < shedAt && (firstAttempts.get(other.tag) ?? -Infinity) > shedAt
     );
     if (favoured === undefined) return [];
     const detail = `${request.className} was shed while ` +
-      `${favoured.request.className} waited`;
-    return [{ promise: "higher_tier_shed" as const, tag: request.tag, detail }];
+      `${favoured.request.className} of a lower tier waited`;
+    return [{
+      guarantee: "higher_tier_shed" as const,
+      tag: request.tag,
+      detail,
+    }];
   });
 }
 
-/** The next request on a slot that was taken back must be of a higher tier. */
-function findPreemptionFaults(evidence: RunEvidence): BrokenPromise[] {
+/** Checks that the next request on a preempted slot is of a higher tier. */
+function findPreemptionViolations(evidence: RunEvidence): Violation[] {
   const byId = new Map(
     evidence.traces.map(({ request, view }) =>
       [view.headers["x-request-id"], request] as const
@@ -133,45 +140,46 @@
   );
   return evidence.preemptions.flatMap(({ requestId, upstream, at }) => {
     const taken = byId.get(requestId);
-    const next = evidence.sends
+    const next = evidence.attempts
       .find((send) => send.upstream === upstream && send.at >= at);
     const taker = next && byTag.get(next.tag);
     if (taken === undefined || taker === undefined) return [];
     if (taker.rank <= taken.rank) return [];
-    const detail = `${taken.className} yielded to ${taker.className}`;
+    const detail = `${taken.className} was preempted for ${taker.className}`;
     return [{
-      promise: "preempted_for_lower_tier" as const,
+      guarantee: "preempted_for_lower_tier" as const,
       tag: taken.tag,
       detail,
     }];
   });
 }
 
-function findStarvation(evidence: RunEvidence): BrokenPromise[] {
+function findStarvation(evidence: RunEvidence): Violation[] {
   return [...evidence.snapshot.classes.values()].flatMap((requestClass) => {
     const { name, maxWaitMs } = requestClass;
     const stall = computeLongestStall(evidence, name);
     if (stall.ms <= maxWaitMs) return [];
-    const detail = `${name} had waiters and no progress for ` +
-      `${Math.round(stall.ms)} ms; its bound is ${maxWaitMs} ms`;
-    return [{ promise: "starved" as const, tag: stall.tag, detail }];
+    const detail = `${name} had waiting requests but no progress for ` +
+      `${Math.round(stall.ms)} ms; max_wait_ms is ${maxWaitMs} ms`;
+    return [{ guarantee: "starved" as const, tag: stall.tag, detail }];
   });
 }
 
 /**
- * The longest time in which requests of a class waited and none of them was
- * sent or refused: the wait of the class's head is never longer.
+ * Returns the longest time during which requests of a class waited and none of
+ * them was sent or refused. It bounds the wait of the first request in the
+ * class's queue.
  */
 export function computeLongestStall(
-  evidence: Pick<RunEvidence, "traces" | "sends">,
+  evidence: Pick<RunEvidence, "traces" | "attempts">,
   className: string,
 ): { ms: number; tag: number } {
-  const firstSends = collectFirstSends(evidence.sends);
+  const firstAttempts = collectFirstAttempts(evidence.attempts);
   const events = evidence.traces
     .filter(({ request }) => request.className === className)
     .flatMap(({ request, view }) => {
       const { tag, at } = request;
-      const leftAt = firstSends.get(tag) ?? view.endedAt ?? Infinity;
+      const leftAt = firstAttempts.get(tag) ?? view.endedAt ?? Infinity;
       return [{ at, change: 1, tag }, { at: leftAt, change: -1, tag }];
     })
     .sort((left, right) => left.at - right.at || right.change - left.change);
--- a/bench/overhead/main.ts
+++ b/bench/overhead/main.ts
@@ -1,6 +1,7 @@
 /**
- * What the router costs against a direct connection and a bare pipe to the
- * same stand-in engine: `npm run overhead -- --json --save FILE`.
+ * Measures the overhead of the router compared with a direct connection and a
+ * bare HTTP proxy to the same stand-in engine:
+ * `npm run overhead -- --json --save FILE`.
  *
  * @module
  */
@@ -16,26 +17,26 @@
 import { DemoFleet } from "../../demo/fleet.ts";
 import type { EngineOptions } from "../../standin/engine_options.ts";
 import {
+  type CallPath,
   type CpuFigures,
   type FirstTokenFigures,
   type MemoryFigures,
   runCpu,
   runFirstToken,
   runMemory,
-  type Way,
 } from "./measures.ts";
 import { buildOverheadExample, MODEL } from "./overhead_records.ts";
-import { buildVmWay, FAST_ENGINE, findOwner, SLOW_ENGINE } from "./rig.ts";
+import { buildVmPath, FAST_ENGINE, findOwner, SLOW_ENGINE } from "./rig.ts";
 
 const ROOT = process.cwd();
 const FIRST_TOKEN_SAMPLES = 1_500;
 const STREAM_LOAD = { streams: 40, tokens: 1_000, rounds: 5 };
 const SHORT_LOAD = { streams: 64, tokens: 1, rounds: 40 };
 const STREAM_COUNTS = [100, 1_000, 5_000];
-const SETTLED_MS = 4_000;
+const SETTLE_MS = 4_000;
 const STOP_MS = 10_000;
 
-/** Everything that one run measured. */
+/** Results of one run. */
 interface OverheadReport {
   commit: string;
   firstToken: FirstTokenFigures[];
@@ -45,10 +46,10 @@
 }
 
 interface Rig {
-  direct: Way;
-  pipe: Way;
-  owner: Way;
-  other: Way;
+  direct: CallPath;
+  pipe: CallPath;
+  owner: CallPath;
+  other: CallPath;
 }
 
 await main();
@@ -56,7 +57,10 @@
 async function main(): Promise<void> {
   const args = await yargs(hideBin(process.argv))
     .option("json", { type: "boolean", default: false })
-    .option("save", { type: "string", describe: "File for the figures" })
+    .option("save", {
+      type: "string",
+      describe: "File to which the figures are written",
+    })
     .strict()
     .parseAsync();
   const report = await runAll();
@@ -99,7 +103,7 @@
   const children = ChildProcessGroup.create(directory);
   try {
     await fleet.start();
-    await sleep(SETTLED_MS);
+    await sleep(SETTLE_MS);
     return await measure(await buildRig(fleet, children));
   } finally {
     await children.stop(children.listAlive(), STOP_MS);
@@ -123,14 +127,14 @@
   const owner = await findOwner(fleet);
   const other = fleet.entryVms.find((vm) => vm !== owner)!;
   return {
-    direct: buildWay("direct", { port: enginePort }),
-    pipe: buildWay("bare pipe", { port: pipePort, pid: pipePid }),
-    owner: buildVmWay("VM that owns the shard", owner),
-    other: buildVmWay("other VM", other),
+    direct: buildPath("direct", { port: enginePort }),
+    pipe: buildPath("bare pipe", { port: pipePort, pid: pipePid }),
+    owner: buildVmPath("VM that owns the shard", owner),
+    other: buildVmPath("other VM", other),
   };
 }
 
-function buildWay(name: string, at: { port: number; pid?: number }): Way {
+function buildPath(name: string, at: { port: number; pid?: number }): CallPath {
   return {
     name,
     target: { port: at.port, model: MODEL, key: undefined },
--- a/bench/overhead/measures.ts
+++ b/bench/overhead/measures.ts
@@ -1,5 +1,5 @@
 /**
- * The measures of the overhead bench, each against a baseline in one run.
+ * Measurements of the overhead benchmark, each of several paths in one run.
  *
  * @module
  */
@@ -10,17 +10,17 @@
 
 const MICROSECONDS = 1_000;
 const SETTLE_MS = 1_500;
-const OPENING_AT_ONCE = 500;
+const MAX_CONCURRENT_OPENS = 500;
 
-/** One way from a caller to an engine. */
-export interface Way {
+/** A path from a caller to an engine. */
+export interface CallPath {
   name: string;
   target: StreamTarget;
-  /** The process in between; undefined for the direct way. */
+  /** Process id of the intermediary; undefined for the direct path. */
   pid: number | undefined;
 }
 
-/** First-token time of one way, in milliseconds. */
+/** Time to first token on one path, in milliseconds. */
 export interface FirstTokenFigures {
   way: string;
   samples: number;
@@ -28,7 +28,7 @@
   p99: number;
 }
 
-/** Processor time of one way's process. */
+/** Processor time of one path's process. */
 export interface CpuFigures {
   way: string;
   tokens: number;
@@ -36,62 +36,68 @@
   cpuMs: number;
 }
 
-/** Memory of one process with streams open. */
+/** Memory of one process with open streams. */
 export interface MemoryFigures {
   streams: number;
   residentBytes: number;
 }
 
-/** Short streams one after the other, the ways taking turns. */
+/**
+ * Measures the time to first token of sequential short streams, alternating
+ * between the paths.
+ */
 export async function runFirstToken(
-  ways: readonly Way[],
+  paths: readonly CallPath[],
   samples: number,
 ): Promise<FirstTokenFigures[]> {
   const caller = StreamCaller.create();
-  const histograms = ways.map(() =>
+  const histograms = paths.map(() =>
     build({ numberOfSignificantValueDigits: 3 })
   );
   for (let sample = -samples / 10; sample < samples; sample++) {
-    for (const [index, way] of ways.entries()) {
-      const { firstTokenMs } = await caller.run(way.target, 2);
-      // The first tenth warms connections and code up.
+    for (const [index, path] of paths.entries()) {
+      const { firstTokenMs } = await caller.run(path.target, 2);
+      // The first tenth warms up connections and code.
       if (sample < 0) continue;
       const value = Math.round(firstTokenMs * MICROSECONDS);
       histograms[index]!.recordValue(value);
     }
   }
   caller.close();
-  return ways.map((way, index) => ({
-    way: way.name,
+  return paths.map((path, index) => ({
+    way: path.name,
     samples,
     p50: histograms[index]!.getValueAtPercentile(50) / MICROSECONDS,
     p99: histograms[index]!.getValueAtPercentile(99) / MICROSECONDS,
   }));
 }
 
-/** Processor time of each way's process over `rounds` rounds of streams. */
+/**
+ * Measures the processor time of each path's process over `rounds` rounds of
+ * streams.
+ */
 export async function runCpu(
-  ways: readonly Way[],
+  paths: readonly CallPath[],
   load: { streams: number; tokens: number; rounds: number },
 ): Promise<CpuFigures[]> {
   const caller = StreamCaller.create();
-  const figures = ways.map((way): CpuFigures => ({
-    way: way.name,
+  const figures = paths.map((path): CpuFigures => ({
+    way: path.name,
     tokens: 0,
     requests: 0,
     cpuMs: 0,
   }));
   for (let round = -1; round < load.rounds; round++) {
-    for (const [index, way] of ways.entries()) {
-      const before = way.pid === undefined ? 0 : readCpuMs(way.pid);
+    for (const [index, path] of paths.entries()) {
+      const before = path.pid === undefined ? 0 : readCpuMs(path.pid);
       const streams = Array.from(
         { length: load.streams },
-        () => caller.run(way.target, load.tokens),
+        () => caller.run(path.target, load.tokens),
       );
       await Promise.all(streams);
-      if (round < 0 || way.pid === undefined) continue;
+      if (round < 0 || path.pid === undefined) continue;
       const figure = figures[index]!;
-      figure.cpuMs += readCpuMs(way.pid) - before;
+      figure.cpuMs += readCpuMs(path.pid) - before;
       figure.tokens += load.streams * load.tokens;
       figure.requests += load.streams;
     }
@@ -100,12 +106,15 @@
   return figures;
 }
 
-/** Resident memory of the way's process at each number of open streams. */
+/**
+ * Measures the resident memory of the path's process for each number of open
+ * streams.
+ */
 export async function runMemory(
-  way: Way,
+  path: CallPath,
   counts: readonly number[],
 ): Promise<MemoryFigures[]> {
-  const { pid, target } = way;
+  const { pid, target } = path;
   if (pid === undefined) return [];
   const caller = StreamCaller.create();
   const closes: (() => void)[] = [];
@@ -114,7 +123,7 @@
   ];
   for (const count of counts) {
     while (closes.length < count) {
-      const missing = Math.min(OPENING_AT_ONCE, count - closes.length);
+      const missing = Math.min(MAX_CONCURRENT_OPENS, count - closes.length);
       const opened = Array.from(
         { length: missing },
         () => caller.open(target, 10_000),
--- a/bench/overhead/overhead_records.ts
+++ b/bench/overhead/overhead_records.ts
@@ -1,23 +1,23 @@
 /**
- * Records of the overhead bench: one class, one pool, nothing that refuses.
+ * Records of the overhead benchmark: one class, one pool, no effective limits.
  *
  * @module
  */
-import type { Example, WrittenVm } from "../../demo/example_records.ts";
+import type { Example, ExampleVm } from "../../demo/example_records.ts";
 import { formatDemoKey } from "../../demo/example_records.ts";
 import { computeKeyHash } from "../../src/version/index.ts";
 
-/** The model of the bench. */
+/** Name of the model. */
 export const MODEL = "overhead";
 const WORKSPACE = "bench";
 const MINUTE_MS = 60_000;
-const MANY = 1_000_000_000;
+const UNLIMITED_PER_MINUTE = 1_000_000_000;
 const SLOTS = 4_096;
 
-/** The key that the bench's callers send. */
+/** API key of the callers. */
 export const KEY = formatDemoKey(WORKSPACE);
 
-/** Two entry VMs before `engines` engines. */
+/** Builds an example with two entry VMs and `engines` engines. */
 export function buildOverheadExample(engines: number): Example {
   const classRecord = {
     kind: "request_class",
@@ -60,7 +60,10 @@
     default_class: "stream",
     classes: ["stream"],
     weight: 1,
-    limits: { requests_per_minute: MANY, tokens_per_minute: MANY },
+    limits: {
+      requests_per_minute: UNLIMITED_PER_MINUTE,
+      tokens_per_minute: UNLIMITED_PER_MINUTE,
+    },
     objectives: {},
   };
   const tier = {
@@ -77,7 +80,7 @@
   };
 }
 
-function buildVms(role: WrittenVm["role"], count: number): WrittenVm[] {
+function buildVms(role: ExampleVm["role"], count: number): ExampleVm[] {
   return Array.from({ length: count }, (_, index) => ({
     id: `${role}-${index + 1}`,
     role,
--- a/bench/overhead/pipe.ts
+++ b/bench/overhead/pipe.ts
@@ -1,6 +1,7 @@
 /**
- * The baseline: a bare Node pipe to one upstream, with nothing else.
- * `node --import tsx bench/overhead/pipe.ts UPSTREAM_PORT` prints its port.
+ * The baseline of the overhead benchmark: a bare Node HTTP proxy to one
+ * upstream. `node --import tsx bench/overhead/pipe.ts UPSTREAM_PORT` prints its
+ * port.
  *
  * @module
  */
--- a/bench/overhead/process_usage.ts
+++ b/bench/overhead/process_usage.ts
@@ -1,17 +1,17 @@
 /**
- * What a process used, as the system counts it.
+ * Reads the resource usage of a process from `/proc`.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 
-/** Clock ticks a second in `/proc/PID/stat`, the same on every Linux. */
+/** Clock ticks per second in `/proc/PID/stat`, the same on every Linux. */
 const TICKS_PER_SECOND = 100;
 const PAGE_BYTES = 4_096;
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** Processor time of a process so far, in milliseconds. */
+/** Returns the processor time of a process so far, in milliseconds. */
 export function readCpuMs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
@@ -19,7 +19,7 @@
   return ticks * 1_000 / TICKS_PER_SECOND;
 }
 
-/** Memory that a process holds, in bytes. */
+/** Returns the resident memory of a process, in bytes. */
 export function readResidentBytes(pid: number): number {
   const statm = readFileSync(`/proc/${pid}/statm`, "utf8").split(" ");
   return Number(statm[1]) * PAGE_BYTES;
--- a/bench/overhead/rig.ts
+++ b/bench/overhead/rig.ts
@@ -1,15 +1,15 @@
 /**
- * What the benches on real daemons ask of their fleet.
+ * Helpers for benchmarks that run on real daemons.
  *
  * @module
  */
 import type { DemoFleet, EntryVm } from "../../demo/fleet.ts";
 import { fetchJson } from "../../demo/http_call.ts";
 import type { EngineOptions } from "../../standin/engine_options.ts";
-import type { Way } from "./measures.ts";
+import type { CallPath } from "./measures.ts";
 import { KEY, MODEL } from "./overhead_records.ts";
 
-/** An engine that costs next to nothing, so that the router shows. */
+/** An engine with negligible cost, so that the router's cost dominates. */
 export const FAST_ENGINE: Readonly<Partial<EngineOptions>> = {
   baseMs: 1,
   perRunningMs: 0,
@@ -18,13 +18,13 @@
   memoryTokens: 1_000_000_000,
 };
 
-/** An engine whose streams stay open: a token a second. */
+/** An engine that keeps streams open, at one token per second. */
 export const SLOW_ENGINE: Readonly<Partial<EngineOptions>> = {
   ...FAST_ENGINE,
   baseMs: 1_000,
 };
 
-/** The VM that owns the first shard that the fleet tells of. */
+/** Finds the VM that owns the first shard in the fleet's status. */
 export async function findOwner(fleet: DemoFleet): Promise<EntryVm> {
   const status = await fetchJson<{ shards: { owner: string }[] }>({
     port: fleet.entryVms[0]!.operatorPort,
@@ -33,12 +33,12 @@
     headers: { authorization: `Bearer ${fleet.secret}` },
   });
   const owner = fleet.entryVms.find(({ id }) => id === status.shards[0]?.owner);
-  if (owner === undefined) throw new Error("No VM owns the shard");
+  if (owner === undefined) throw new Error("No entry VM owns the shard");
   return owner;
 }
 
-/** The way through `vm`. */
-export function buildVmWay(name: string, vm: EntryVm): Way {
+/** Builds the path through `vm`. */
+export function buildVmPath(name: string, vm: EntryVm): CallPath {
   return {
     name,
     target: { port: vm.port, model: MODEL, key: KEY },
--- a/bench/overhead/streams.ts
+++ b/bench/overhead/streams.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of the overhead bench: timed streams over Node's http.
+ * Callers of the overhead benchmark: timed streams over Node's HTTP client.
  *
  * @module
  */
@@ -8,23 +8,23 @@
 
 const HOST = "127.0.0.1";
 
-/** Where a stream is asked for. */
+/** Destination of a stream. */
 export interface StreamTarget {
   port: number;
   model: string;
-  /** Undefined at an engine, which asks for none. */
+  /** API key; undefined for an engine, which needs none. */
   key: string | undefined;
 }
 
-/** What one stream took. */
+/** Figures of one stream. */
 export interface StreamFigures {
-  /** From the request's first byte to the first token, in milliseconds. */
+  /** Time from sending the request to the first token, in milliseconds. */
   firstTokenMs: number;
   totalMs: number;
   bytes: number;
 }
 
-/** Opens streams on connections that are kept. */
+/** Opens streams on keep-alive connections. */
 export class StreamCaller {
   readonly #agent = new http.Agent({ keepAlive: true });
 
@@ -32,7 +32,7 @@
     return new StreamCaller();
   }
 
-  /** Runs one stream of `tokens` to its end; rejects if it is not whole. */
+  /** Runs one stream of `tokens` to its end; rejects if it is incomplete. */
   run(target: StreamTarget, tokens: number): Promise<StreamFigures> {
     return new Promise((resolve, reject) => {
       const startedAt = performance.now();
@@ -50,7 +50,11 @@
         answer.on("error", reject);
         answer.on("end", () => {
           if (answer.statusCode !== 200 || !tail.includes("[DONE]")) {
-            reject(new Error(`Not whole: ${answer.statusCode} ${tail}`));
+            reject(
+              new Error(
+                `Stream is incomplete: status ${answer.statusCode}, end ${tail}`,
+              ),
+            );
             return;
           }
           const totalMs = performance.now() - startedAt;
@@ -61,14 +65,17 @@
     });
   }
 
-  /** Opens a stream; resolves with its end at its first byte. */
+  /**
+   * Opens a stream; resolves with a function that closes it once the response
+   * has started.
+   */
   open(target: StreamTarget, tokens: number): Promise<() => void> {
     return new Promise((resolve, reject) => {
       const request = this.#open(target, tokens, (answer) => {
         answer.on("error", () => {});
         answer.resume();
         if (answer.statusCode === 200) resolve(() => request.destroy());
-        else reject(new Error(`Refused: ${answer.statusCode}`));
+        else reject(new Error(`Refused: status ${answer.statusCode}`));
       });
       request.on("error", reject);
     });
--- a/bench/recovery/bench_fleet.ts
+++ b/bench/recovery/bench_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The fleet that the recovery bench measures: eight daemons.
+ * The fleet of the recovery benchmark: eight daemons.
  *
  * @module
  */
@@ -8,7 +8,7 @@
   type ProcessFleetOptions,
 } from "../../test/support/process_fleet.ts";
 
-/** Entry VMs that each user has today. */
+/** Number of entry VMs, the same as in both users' fleets. */
 export const VMS = 8;
 
 let program = "";
@@ -18,7 +18,7 @@
   program = path;
 }
 
-/** Runs `measure` on a fresh fleet and ends the fleet. */
+/** Runs `measure` on a new fleet, then stops the fleet. */
 export async function runWithFleet<T>(
   options: Omit<ProcessFleetOptions, "vms" | "program">,
   measure: (fleet: ProcessFleet) => Promise<T>,
--- a/bench/recovery/callers.ts
+++ b/bench/recovery/callers.ts
@@ -1,6 +1,6 @@
 /**
- * How callers that go by `GET /v1/entries` spread over the VMs, and how many
- * of their calls hit a VM that was killed.
+ * Measures how callers that use `GET /v1/entries` are distributed over the VMs,
+ * and how many of their calls reach a killed VM.
  *
  * @module
  */
@@ -17,19 +17,21 @@
 const BEFORE_KILL_MS = 4_000;
 const AFTER_KILL_MS = 20_000;
 
-/** What is measured. */
+/** Figures of the callers. */
 export interface CallerFigures {
-  /** Callers whose first entry each VM is, least and most, and the mean. */
+  /**
+   * Number of callers per VM by their first entry: minimum, maximum and mean.
+   */
   balance: { callers: number; least: number; most: number; mean: number };
   afterKill: {
     calls: number;
-    /** Connections that the killed VM's address refused. */
+    /** Connections refused at the killed VM's address. */
     refusedConnects: number;
-    /** Calls that were under way at the kill. */
+    /** Calls whose connection broke. */
     cut: number;
-    /** Calls that ended without an answer even at the next entry. */
+    /** Calls that were not answered by any entry. */
     notAnswered: number;
-    /** From the kill to the last such connection, in milliseconds. */
+    /** Time from the kill to the last refused connection, in milliseconds. */
     lastHitMs: number;
   };
 }
@@ -39,7 +41,7 @@
   port: number;
 }
 
-/** Measures the balance, then kills one VM under callers. */
+/** Measures the balance, then kills one VM while callers send calls. */
 export async function runCallers(): Promise<CallerFigures> {
   return await runWithFleet({ entriesTtlMs: TTL_MS }, async (fleet) => {
     const balance = await collectBalance(fleet);
@@ -66,7 +68,7 @@
 }
 
 async function runKill(fleet: ProcessFleet) {
-  const gone = fleet.vms.at(-1)!;
+  const killed = fleet.vms.at(-1)!;
   const figures = {
     calls: 0,
     refusedConnects: 0,
@@ -113,12 +115,15 @@
   );
   await sleep(BEFORE_KILL_MS);
   killedAt = Date.now();
-  await gone.destroy();
+  await killed.destroy();
   await Promise.all(callers);
   return figures;
 }
 
-/** Asks the entries in turn, as a caller does whose answer has expired. */
+/**
+ * Refreshes the entries from the first entry that answers, as a caller does
+ * after the TTL.
+ */
 async function fetchAnyEntries(
   entries: readonly Entry[],
   centre: string,
@@ -127,7 +132,7 @@
     try {
       return await fetchEntries(port, centre);
     } catch {
-      // The next one may answer.
+      // Tries the next entry.
     }
   }
   return [...entries];
--- a/bench/recovery/changes.ts
+++ b/bench/recovery/changes.ts
@@ -1,6 +1,6 @@
 /**
- * Time from the publication of a configuration to its being in force on the
- * last VM.
+ * Measures the time from the publication of a configuration until it is in
+ * force on all VMs.
  *
  * @module
  */
@@ -11,20 +11,22 @@
 import { waitForLogs } from "./vm_log.ts";
 
 const SEED = 31;
-const LONGEST_GAP_MS = 600;
-/** VMs that still reach the service in the second measurement. */
-const READERS_LEFT = 2;
+const MAX_GAP_MS = 600;
+/** Number of VMs that reach the service in the second measurement. */
+const REMAINING_READERS = 2;
 
-/** What is measured. */
+/** Figures of the changes. */
 export interface ChangeFigures {
   serviceUp: Summary;
-  /** The service is down for all VMs but two. */
+  /** Only two VMs reach the service. */
   twoReaders: Summary;
-  /** Calls that the service counted, waiting watches too, a second. */
+  /** Calls at the service per second; a watch counts once. */
   callsPerSecond: { serviceUp: number; twoReaders: number };
 }
 
-/** Publishes `count` changes in each of the two states of the service. */
+/**
+ * Publishes `count` changes with the service up, and `count` with two readers.
+ */
 export async function runChanges(count: number): Promise<ChangeFigures> {
   const up = await runChangesWith(count, false);
   const two = await runChangesWith(count, true);
@@ -42,18 +44,18 @@
   const random = SeededRandom.create(SEED);
   return await runWithFleet({ relays: ["platform"] }, async (fleet) => {
     if (isDownForMost) {
-      for (const vm of fleet.vms.slice(READERS_LEFT)) {
+      for (const vm of fleet.vms.slice(REMAINING_READERS)) {
         const relay = fleet.relays.get(`platform:${vm.id}`)!;
         relay.setModeOfNew("refuse");
         relay.destroyOpen();
       }
-      await sleep(LONGEST_GAP_MS);
+      await sleep(MAX_GAP_MS);
     }
     const times: number[] = [];
     const callsBefore = fleet.platform.core.calls;
     const startedAt = Date.now();
     for (let index = 0; index < count; index++) {
-      await sleep(random.next() * LONGEST_GAP_MS);
+      await sleep(random.next() * MAX_GAP_MS);
       const publishedAt = Date.now();
       const version = fleet.announceRecords({
         requestsPerMinute: 900_000 + index,
--- a/bench/recovery/costs.ts
+++ b/bench/recovery/costs.ts
@@ -1,5 +1,6 @@
 /**
- * Control traffic, processor time and memory of each VM, idle and under load.
+ * Measures control traffic, processor time and memory per VM, idle and under
+ * load.
  *
  * @module
  */
@@ -11,31 +12,31 @@
 import { runWithFleet } from "./bench_fleet.ts";
 
 const SETTLE_MS = 5_000;
-const WATCHED_MS = 20_000;
+const OBSERVATION_MS = 20_000;
 const REQUESTS_PER_SECOND = 48;
 const TOKENS = 40;
 const BYTES_PER_MB = 1_048_576;
-/** Fields of `/proc/PID/stat` after the name, counted from 0. */
+/** 0-based fields of `/proc/PID/stat` after the process name. */
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** One VM's mean, and the largest of the eight where it says so. */
+/** Means per VM; `largest…` is the maximum of all VMs. */
 export interface CostFigures {
   requestsPerSecond: number;
   answered: number;
   notAnswered: number;
-  /** Sent and received between VMs, bytes a second for each VM. */
+  /** Bytes sent to and received from other VMs. */
   peerBytesPerSecond: number;
-  /** Sent and received between a VM and the configuration service. */
+  /** Bytes sent to and received from the configuration service. */
   serviceBytesPerSecond: number;
-  /** Share of one core. */
+  /** Processor time as a share of one core. */
   coreShare: number;
   largestCoreShare: number;
   residentMb: number;
   largestResidentMb: number;
 }
 
-/** Watches an idle fleet, then the same fleet under load. */
+/** Measures an idle fleet, then the same fleet under load. */
 export async function runCosts(): Promise<
   { idle: CostFigures; loaded: CostFigures }
 > {
@@ -44,13 +45,13 @@
     records: { engineSlots: 16 },
   }, async (fleet) => {
     await sleep(SETTLE_MS);
-    const idle = await watchCosts(fleet, 0);
-    const loaded = await watchCosts(fleet, REQUESTS_PER_SECOND);
+    const idle = await collectCosts(fleet, 0);
+    const loaded = await collectCosts(fleet, REQUESTS_PER_SECOND);
     return { idle, loaded };
   });
 }
 
-async function watchCosts(
+async function collectCosts(
   fleet: ProcessFleet,
   requestsPerSecond: number,
 ): Promise<CostFigures> {
@@ -58,7 +59,7 @@
   if (requestsPerSecond > 0) await sleep(SETTLE_MS);
   const startedAt = performance.now();
   const before = readCosts(fleet);
-  await sleep(WATCHED_MS);
+  await sleep(OBSERVATION_MS);
   const after = readCosts(fleet);
   const seconds = (performance.now() - startedAt) / 1_000;
   const vms = fleet.vms.length;
@@ -70,7 +71,7 @@
     requestsPerSecond,
     answered,
     notAnswered,
-    // Each byte between two VMs is sent by one and received by the other.
+    // Counted twice: each byte is sent by one VM and received by another.
     peerBytesPerSecond: 2 * (after.peers - before.peers) / vms / seconds,
     serviceBytesPerSecond: (after.service - before.service) / vms / seconds,
     coreShare: computeMean(shares),
@@ -83,7 +84,7 @@
 async function runLoad(fleet: ProcessFleet, requestsPerSecond: number) {
   const counts = { answered: 0, notAnswered: 0 };
   if (requestsPerSecond === 0) return counts;
-  const endsAt = performance.now() + SETTLE_MS + WATCHED_MS;
+  const endsAt = performance.now() + SETTLE_MS + OBSERVATION_MS;
   const sent: Promise<void>[] = [];
   for (let index = 0; performance.now() < endsAt; index++) {
     const { port } = fleet.vms[index % fleet.vms.length]!;
--- a/bench/recovery/leaving.ts
+++ b/bench/recovery/leaving.ts
@@ -1,5 +1,5 @@
 /**
- * Time until an engine that leaves gets no new work.
+ * Measures the time until a leaving engine receives no new work.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 import { computeSummary, type Summary } from "./summary.ts";
 
 const REQUEST_EVERY_MS = 10;
-const WATCHED_MS = 4_000;
-const BACK_MS = 6_000;
+const OBSERVATION_MS = 4_000;
+const RETURN_MS = 6_000;
 const POLL_MS = 5;
 
-/** From the word that it leaves to the last new request that it got. */
+/** Times from the leaving notice to the last new request at the engine. */
 export interface LeavingFigures {
   byList: Summary;
   byOwnWord: Summary;
@@ -22,7 +22,10 @@
   notAnswered: number;
 }
 
-/** Lets an engine leave `trials` times in each of the two ways. */
+/**
+ * Makes an engine leave `trials` times by the membership list and `trials`
+ * times by its own notice.
+ */
 export async function runLeaving(trials: number): Promise<LeavingFigures> {
   return await runWithFleet({}, async (fleet) => {
     const load = startLoad(fleet);
@@ -61,22 +64,22 @@
   setLeaving(true);
   let count = core.listRequestIds().length;
   let lastNewAt = leftAt;
-  while (performance.now() - leftAt < WATCHED_MS) {
+  while (performance.now() - leftAt < OBSERVATION_MS) {
     const now = core.listRequestIds().length;
     if (now > count) lastNewAt = performance.now();
     count = now;
     await sleep(POLL_MS);
   }
   setLeaving(false);
-  await sleep(BACK_MS);
+  await sleep(RETURN_MS);
   return lastNewAt - leftAt;
 }
 
 function startLoad(fleet: ProcessFleet) {
   const sent: Promise<CallResult>[] = [];
-  let isOver = false;
+  let isStopped = false;
   const done = (async () => {
-    for (let index = 0; !isOver; index++) {
+    for (let index = 0; !isStopped; index++) {
       const { port } = fleet.vms[index % fleet.vms.length]!;
       sent.push(sendChat(port, { tokens: 5, name: `leaving-${index}` }));
       await sleep(REQUEST_EVERY_MS);
@@ -84,7 +87,7 @@
   })();
   return {
     stop: async () => {
-      isOver = true;
+      isStopped = true;
       await done;
       return await Promise.all(sent);
     },
--- a/bench/recovery/losses.ts
+++ b/bench/recovery/losses.ts
@@ -1,5 +1,6 @@
 /**
- * Times to notice a killed VM and to take over a shard that it owned.
+ * Measures the time to detect a killed VM and to take over a shard that it
+ * owned.
  *
  * @module
  */
@@ -20,22 +21,22 @@
 const SHARD_KEY = "shard:engines/0";
 const REQUEST_EVERY_MS = 50;
 const REQUESTS = 120;
-const NOTICED_MS = 30_000;
-const CALM_MS = 3_000;
+const DETECTION_TIMEOUT_MS = 30_000;
+const SETTLE_MS = 3_000;
 
-/** What is measured, from the kill on. */
+/** Figures of the losses; times are relative to the kill. */
 export interface LossFigures {
-  /** Until the first other VM holds it for dead. */
+  /** Time until the first other VM considers it unreachable. */
   noticedFirst: Summary;
-  /** Until all other VMs do. */
+  /** Time until all other VMs consider it unreachable. */
   noticedByAll: Summary;
-  /** Until another VM has taken the engines' shard. */
+  /** Time until another VM has taken over the engines' shard. */
   shardTaken: Summary;
-  /** Until a request that was sent after the kill is answered. */
+  /** Time until a request sent after the kill is answered. */
   firstAnswer: Summary;
-  /** The longest wait among the requests sent after the kill. */
+  /** Longest wait of the requests sent after the kill. */
   longestWait: Summary;
-  /** Of all requests sent after the kill to VMs that live. */
+  /** Requests sent after the kill to the remaining VMs. */
   requests: number;
   notAnswered: number;
 }
@@ -78,8 +79,8 @@
   const others = fleet.vms.filter((vm) => vm !== owner);
   const killedAt = Date.now();
   void owner.destroy();
-  const noticing = Promise.all(
-    others.map((vm) => watchNoticed(vm, owner.id)),
+  const detections = Promise.all(
+    others.map((vm) => waitForDetection(vm, owner.id)),
   );
   const ends: { at: number; waitMs: number; isAnswered: boolean }[] = [];
   const sent: Promise<void>[] = [];
@@ -97,16 +98,16 @@
     await sleep(REQUEST_EVERY_MS);
   }
   await Promise.all(sent);
-  const noticed = await noticing;
+  const detectedMs = await detections;
   const taken = "event=shard_taken shard=engines/0";
   const [takenAt] = await waitForLogs([next], taken, killedAt);
   owner.start();
   await waitUntilReady(fleet.vms);
-  await sleep(CALM_MS);
+  await sleep(SETTLE_MS);
   const answered = ends.filter(({ isAnswered }) => isAnswered);
   return {
-    noticedFirst: Math.min(...noticed),
-    noticedByAll: Math.max(...noticed),
+    noticedFirst: Math.min(...detectedMs),
+    noticedByAll: Math.max(...detectedMs),
     shardTaken: takenAt! - killedAt,
     firstAnswer: Math.min(...answered.map(({ at }) => at)) - killedAt,
     longestWait: Math.max(...ends.map(({ waitMs }) => waitMs)),
@@ -114,17 +115,26 @@
   };
 }
 
-/** Time until `vm` holds `dead` for dead, to within a poll. */
-async function watchNoticed(vm: ProcessVm, dead: string): Promise<number> {
-  return await waitUntil(`${vm.id} to notice`, NOTICED_MS, async () => {
-    const { members } = await vm.fetchStatus();
-    return members.some(({ vm: id, state }) =>
-      id === dead && state === "unreachable"
-    );
-  });
+/**
+ * Returns the time until `vm` considers `dead` unreachable, to within one poll.
+ */
+async function waitForDetection(vm: ProcessVm, dead: string): Promise<number> {
+  return await waitUntil(
+    `${vm.id} to detect the loss`,
+    DETECTION_TIMEOUT_MS,
+    async () => {
+      const { members } = await vm.fetchStatus();
+      return members.some(({ vm: id, state }) =>
+        id === dead && state === "unreachable"
+      );
+    },
+  );
 }
 
-/** The owner of the engines' shard, and who is next, while all VMs live. */
+/**
+ * Returns the owner of the engines' shard and its successor, while all VMs are
+ * live.
+ */
 function listOwners(fleet: ProcessFleet): [ProcessVm, ProcessVm] {
   const ids = fleet.vms.map(({ id }) => toId<VmId>(id));
   const [first, second] = computeRendezvousOrder(SHARD_KEY, ids);
--- a/bench/recovery/main.ts
+++ b/bench/recovery/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run recovery`: how fast eight real daemons notice, take over and come
- * back. Prints a table; `--json` prints JSON, `--save FILE` keeps it below
- * `bench/results/`.
+ * `npm run recovery`: measures how fast eight real daemons detect failures,
+ * take over and restart. Prints a table or, with `--json`, JSON; `--save FILE`
+ * writes the JSON to `bench/results/`.
  *
  * @module
  */
@@ -40,27 +40,28 @@
       choices: PARTS,
       array: true,
       default: [...PARTS],
-      describe: "What to measure",
+      describe: "Measurements to run",
     })
     .option("changes", {
       type: "number",
       default: 200,
-      describe: "Configurations published in each state of the service",
+      describe:
+        "Number of configurations published in each state of the service",
     })
     .option("trials", {
       type: "number",
       default: 10,
-      describe: "Losses and leavings of each kind",
+      describe: "Number of VM losses, and of leaving engines of each kind",
     })
     .option("restarts", {
       type: "number",
       default: 3,
-      describe: "Restarts of each kind",
+      describe: "Number of restarts of each kind",
     })
     .option("json", { type: "boolean", default: false, describe: "Print JSON" })
     .option("save", {
       type: "string",
-      describe: "Also write the JSON to this file in bench/results/",
+      describe: "File in bench/results/ to which the JSON is also written",
     })
     .strict()
     .parseAsync();
--- a/bench/recovery/report.ts
+++ b/bench/recovery/report.ts
@@ -1,5 +1,5 @@
 /**
- * The recovery figures as a table.
+ * Renders the recovery figures as a table.
  *
  * @module
  */
@@ -11,9 +11,9 @@
 import type { RestartFigures } from "./restarts.ts";
 import type { Summary } from "./summary.ts";
 
-/** Every figure; what was not asked for is absent. */
+/** All figures; members that were not measured are absent. */
 export interface RecoveryFigures {
-  /** Of the machine, over a minute: others may have used it as well. */
+  /** One-minute load average of the machine, which may be shared. */
   loadAverage: { before: number; after?: number };
   changes?: ChangeFigures;
   losses?: LossFigures;
@@ -23,7 +23,7 @@
   costs?: { idle: CostFigures; loaded: CostFigures };
 }
 
-/** Renders what there is; times in milliseconds. */
+/** Renders the figures that are present; times in milliseconds. */
 export function renderFigures(figures: RecoveryFigures): string {
   const lines: string[] = [];
   const { changes, losses, leaving, callers, restarts, costs } = figures;
@@ -41,7 +41,7 @@
   }
   if (leaving) {
     lines.push(renderTimes("last new work, by list", leaving.byList));
-    lines.push(renderTimes("last new work, own word", leaving.byOwnWord));
+    lines.push(renderTimes("last new work, by notice", leaving.byOwnWord));
   }
   for (const { killed, service, allServe, allReady } of restarts ?? []) {
     const what = `${killed} killed, service ${service}`;
--- a/bench/recovery/restarts.ts
+++ b/bench/recovery/restarts.ts
@@ -1,5 +1,5 @@
 /**
- * Time from the start of killed VMs to the first answer of the last of them.
+ * Measures the time from the start of killed VMs until all of them answer.
  *
  * @module
  */
@@ -13,19 +13,22 @@
 import { runWithFleet, VMS } from "./bench_fleet.ts";
 import { computeSummary, type Summary } from "./summary.ts";
 
-const SERVES_MS = 60_000;
+const SERVING_TIMEOUT_MS = 60_000;
 
-/** One row: how many were killed, and how the service was. */
+/** Figures for one number of killed VMs and one state of the service. */
 export interface RestartFigures {
   killed: number;
   service: "up" | "down";
-  /** Until the last of them has answered a chat. */
+  /** Time until all of them have answered a chat. */
   allServe: Summary;
-  /** Until `/readyz` of the last of them says so. */
+  /** Time until `/readyz` reports all of them as ready. */
   allReady: Summary;
 }
 
-/** Kills one, half and all; all only with the service up. */
+/**
+ * Restarts one, half and all of the VMs, with the service up and down; all of
+ * them only with the service up.
+ */
 export async function runRestarts(trials: number): Promise<RestartFigures[]> {
   const rows: [number, "up" | "down"][] = [
     [1, "up"],
@@ -66,15 +69,15 @@
   for (const vm of vms) vm.start();
   const [readyMs, ...serve] = await Promise.all([
     waitUntilReady(vms),
-    ...vms.map(watchServing),
+    ...vms.map(waitUntilServing),
   ]);
   core.setFault("none");
   await waitUntilReady(fleet.vms);
   return { serveMs: Math.max(...serve), readyMs };
 }
 
-async function watchServing(vm: ProcessVm): Promise<number> {
-  return await waitUntil(`${vm.id} to serve`, SERVES_MS, async () => {
+async function waitUntilServing(vm: ProcessVm): Promise<number> {
+  return await waitUntil(`${vm.id} to serve`, SERVING_TIMEOUT_MS, async () => {
     const ended = await sendChat(vm.port, { tokens: 1, name: vm.id });
     return ended.outcome.kind === "answered";
   });
--- a/bench/recovery/summary.ts
+++ b/bench/recovery/summary.ts
@@ -1,10 +1,10 @@
 /**
- * Few figures for many times.
+ * Summary statistics of measured times.
  *
  * @module
  */
 
-/** Times in milliseconds. */
+/** Quantiles in milliseconds. */
 export interface Summary {
   count: number;
   p50: number;
@@ -12,7 +12,7 @@
   worst: number;
 }
 
-/** Quantiles by nearest rank. */
+/** Computes quantiles by nearest rank. */
 export function computeSummary(times: readonly number[]): Summary {
   const sorted = [...times].sort((left, right) => left - right);
   const pick = (share: number) =>
--- a/bench/recovery/vm_log.ts
+++ b/bench/recovery/vm_log.ts
@@ -1,6 +1,6 @@
 /**
- * Reads when something happened on a VM from its log. All VMs and the bench
- * run on one machine, so their wall clocks are one clock.
+ * Reads the times of events from the logs of VMs. All VMs and the benchmark run
+ * on one machine and share its wall clock.
  *
  * @module
  */
@@ -11,7 +11,9 @@
 const WAIT_MS = 30_000;
 const LINE_TIME = /^time=(\S+) /;
 
-/** Wall time of the first line with `text` at `sinceMs` or later. */
+/**
+ * Returns the wall time of the first line with `text` at `sinceMs` or later.
+ */
 function findLogTime(
   vm: ProcessVm,
   text: string,
@@ -25,7 +27,7 @@
   return undefined;
 }
 
-/** Waits until each VM has logged `text`; gives the wall times. */
+/** Waits until each VM has logged `text` and returns the wall times. */
 export async function waitForLogs(
   vms: readonly ProcessVm[],
   text: string,
@@ -37,5 +39,5 @@
     if (times.every((time) => time !== undefined)) return times as number[];
     await sleep(POLL_MS);
   }
-  throw new Error(`Not every VM logged "${text}"`);
+  throw new Error(`Not every VM logged "${text}" in time`);
 }
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -1,11 +1,11 @@
 /**
- * A run's figures as tables for the terminal.
+ * Renders the figures of runs as tables for the terminal.
  *
  * @module
  */
 import type { RunFigures } from "./figures.ts";
 
-/** One run as a table for the terminal. */
+/** Renders one run. */
 export function renderFigures(figures: RunFigures): string {
   const { scenario, user, seed, router } = figures;
   const rows = Object.entries(figures.classes).map(([name, one]) => [
@@ -43,13 +43,13 @@
     `(${formatShare(waste)}); ` +
     `${figures.sendsPerRequest.toFixed(3)} sends a request; ` +
     `${figures.preemptions} preemptions`,
-    `promises broken: ${formatCounts(figures.broken)}`,
+    `guarantees violated: ${formatCounts(figures.broken)}`,
     ...figures.brokenExamples.map((line) => `  ${line}`),
     "",
   ].join("\n");
 }
 
-/** What changed between two runs of the same scenario. */
+/** Renders the changes between two runs of the same scenario. */
 export function renderComparison(
   before: RunFigures,
   after: RunFigures,
@@ -72,7 +72,9 @@
     `goodput ${formatChange(before.goodput, after.goodput, formatCount)}; ` +
     `wasted ${
       formatChange(before.wastedTokens, after.wastedTokens, formatCount)
-    }; broken ${formatCounts(before.broken)} to ${formatCounts(after.broken)}`,
+    }; violations ${formatCounts(before.broken)} to ${
+      formatCounts(after.broken)
+    }`,
     "",
   ].join("\n");
 }
--- a/bench/run_scenario.ts
+++ b/bench/run_scenario.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one scenario through one router in virtual time.
+ * Runs one scenario with one router in virtual time.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 const GRACE_MS = 900_000;
 const GRACE_STEP_MS = 1_000;
 
-/** Builds a router over the upstreams of a run. */
+/** Builds a router for the upstreams of a run. */
 export type BuildRouter = (parts: {
   clock: BenchClock;
   seed: number;
@@ -37,38 +37,41 @@
   upstreams: VirtualUpstreams;
 }) => BenchRouter;
 
-/** What to run. */
+/** Options of a run. */
 export interface RunOptions {
   scenario: string;
   user: User;
   seed: number;
-  /** Name of the router in the figures. */
+  /** Name of the router in the results. */
   router: string;
   buildRouter: BuildRouter;
-  /** Shorter runs for tests. */
+  /** Overrides the scenario's duration; tests use shorter runs. */
   durationMs?: number;
 }
 
-/** Our router with `decisions` changed. */
-export function buildOurs(
-  decisions: Partial<SchedulerFeatures> = {},
+/**
+ * Returns a builder of this project's router with some scheduler features
+ * overridden.
+ */
+export function buildRuntimeRouter(
+  features: Partial<SchedulerFeatures> = {},
 ): BuildRouter {
-  return (parts) => RuntimeFleet.create({ ...parts, features: decisions });
+  return (parts) => RuntimeFleet.create({ ...parts, features });
 }
 
-/** The naive router. */
-export function buildNaive(
+/** Builds the naive baseline router. */
+export function buildNaiveRouter(
   { examples, upstreams }: Parameters<BuildRouter>[0],
 ): BenchRouter {
   return NaiveFleet.create(examples, upstreams);
 }
 
-/** Runs a scenario; the same options give the same figures. */
+/** Runs a scenario; deterministic for the same options. */
 export async function runScenario(options: RunOptions): Promise<RunFigures> {
   const { user, seed, buildRouter } = options;
   const scenario = SCENARIOS[options.scenario];
   if (scenario === undefined) {
-    throw new Error(`There is no scenario ${options.scenario}`);
+    throw new Error(`Unknown scenario ${options.scenario}`);
   }
   const durationMs = options.durationMs ?? DURATION_MS[user];
   const engine = { ...BENCH_ENGINE, ...scenario.engine };
@@ -123,7 +126,7 @@
       results: new Map(
         traces.map((trace) => [trace.request.tag, parseCallerResult(trace)]),
       ),
-      sends: upstreams.sends,
+      attempts: upstreams.attempts,
       executions: upstreams.countExecutions(),
       preemptions: router.listPreemptions(),
       destroyed,
--- a/bench/scenarios.ts
+++ b/bench/scenarios.ts
@@ -1,5 +1,5 @@
 /**
- * The scenarios: loads and faults.
+ * The benchmark's scenarios: loads and faults.
  *
  * @module
  */
@@ -16,7 +16,9 @@
   type ClassProfile,
 } from "./support/workload.ts";
 
-/** Engines that take 17 to 45 ms a step, one request to a full batch. */
+/**
+ * Engines whose step takes 17 ms for one request and 45 ms for a full batch.
+ */
 export const BENCH_ENGINE: Readonly<EngineOptions> = {
   ...DEFAULT_ENGINE_OPTIONS,
   baseMs: 16,
@@ -24,7 +26,7 @@
   maxBatch: 24,
 };
 
-/** Arrivals go on for so long. */
+/** Duration of the arrivals per user. */
 export const DURATION_MS: Record<User, number> = {
   lectura_llana: 240_000,
   kontrola_sever: 90_000,
@@ -38,7 +40,7 @@
 const DOWN_MS = 15_000;
 const SERVICE_FAULTS = { cutBefore: 0.01, cutAfter: 0.02 };
 
-/** What a fault acts on. */
+/** Targets of a fault. */
 export interface FaultOptions {
   clock: BenchClock;
   upstreams: VirtualUpstreams;
@@ -49,16 +51,19 @@
 
 /** One scenario. */
 export interface Scenario {
-  /** Load of the model classes over the capacity of full batches. */
+  /**
+   * Load of the model classes relative to the engines' capacity with full
+   * batches.
+   */
   load: number;
   buildBursts?: (user: User, durationMs: number) => Burst[];
   changes?: Partial<Record<string, Partial<ClassProfile>>>;
   engine?: Partial<EngineOptions>;
-  /** Runs beside the arrivals. */
+  /** Injects faults during the arrivals. */
   runFaults?: (options: FaultOptions) => Promise<void>;
 }
 
-/** Every scenario by name. */
+/** All scenarios by name. */
 export const SCENARIOS: Record<string, Scenario> = {
   unloaded: { load: 0.1 },
   mixed: { load: 0.65 },
@@ -94,7 +99,7 @@
   owner_lost: { load: 0.6, runFaults: runOwnerLost },
 };
 
-/** Two replicas slow down for the middle half. */
+/** Slows down two replicas during the middle half of the run. */
 async function runStraggler(options: FaultOptions): Promise<void> {
   const { clock, durationMs, upstreams } = options;
   const slow = [...upstreams.engines.values()].slice(0, 2);
@@ -113,7 +118,10 @@
   core!.options.speedFactor = 1;
 }
 
-/** Three replicas crash, one after the other, and come back; services cut. */
+/**
+ * Crashes and restarts three replicas one after the other; services drop
+ * connections.
+ */
 async function runCrashes(options: FaultOptions): Promise<void> {
   const { clock, durationMs, upstreams } = options;
   for (const service of upstreams.services.values()) {
@@ -126,7 +134,7 @@
   }
 }
 
-/** The VM that owns the model pool's queue ends without a word. */
+/** Destroys the VM that owns the model pool's queue, without notice. */
 async function runOwnerLost(options: FaultOptions): Promise<void> {
   const { clock, durationMs, router, onDestroyed } = options;
   await clock.sleep(durationMs / 3);
--- a/bench/slopes/answering_peer.ts
+++ b/bench/slopes/answering_peer.ts
@@ -1,7 +1,8 @@
 /**
- * The other end of the slopes over sockets, in a process of its own, so that
- * each end's processor time is known: a peer's listener and an engine's
- * reports. Tells its ports, and its processor time whenever it is asked.
+ * The server side of the socket benchmarks: a peer listener and an engine's
+ * reports. Runs in its own process, so that the processor time of each end can
+ * be measured. Sends its ports at the start, and its processor time for each
+ * message.
  *
  * @module
  */
@@ -16,15 +17,15 @@
 
 const HOST = "127.0.0.1";
 
-/** What this process tells first. */
+/** First message of this process: its ports. */
 export interface AnsweringPorts {
   peers: number;
   engine: number;
 }
 
-/** What it tells when asked. */
+/** Answer to each message. */
 export interface AnsweringUsage {
-  /** Microseconds of processor time so far. */
+  /** Processor time so far, in microseconds. */
   processor: number;
 }
 
@@ -93,7 +94,7 @@
   return api as unknown as PeerApi;
 }
 
-/** Answers `/v1/load`, and `/v1/cache/events` with `after` many events. */
+/** Answers `/v1/load`, and `/v1/cache/events` with `after` events. */
 function sendReport(url: string, response: ServerResponse): void {
   const { pathname, searchParams } = new URL(url, `http://${HOST}`);
   const count = Number(searchParams.get("after") ?? 0);
--- a/bench/slopes/byte_relay.ts
+++ b/bench/slopes/byte_relay.ts
@@ -1,5 +1,5 @@
 /**
- * A relay on loopback that counts what passes, headers and all.
+ * A TCP relay on loopback that counts all bytes, including headers.
  *
  * @module
  */
@@ -13,17 +13,17 @@
 
 const HOST = "127.0.0.1";
 
-/** Stands before one port. */
+/** Relays connections to one port. */
 export class ByteRelay {
   bytes = 0;
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
 
   constructor(target: number) {
-    this.#server = createServer((near) => this.#open(near, target));
+    this.#server = createServer((client) => this.#open(client, target));
   }
 
-  /** Listens on a free port and passes on to `target`. */
+  /** Listens on a free port and relays to port `target`. */
   static async create(target: number): Promise<ByteRelay> {
     const relay = new ByteRelay(target);
     await new Promise<void>((resolve) =>
@@ -41,13 +41,13 @@
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  #open(near: Socket, target: number): void {
-    const far = connect(target, HOST);
-    this.#sendOn(near, far);
-    this.#sendOn(far, near);
+  #open(client: Socket, target: number): void {
+    const upstream = connect(target, HOST);
+    this.#copyBytes(client, upstream);
+    this.#copyBytes(upstream, client);
   }
 
-  #sendOn(from: Socket, to: Socket): void {
+  #copyBytes(from: Socket, to: Socket): void {
     this.#sockets.add(from);
     from.on("data", (chunk) => {
       this.bytes += chunk.length;
--- a/bench/slopes/capacity_page.ts
+++ b/bench/slopes/capacity_page.ts
@@ -1,5 +1,5 @@
 /**
- * Writes the tables of docs/CAPACITY.md from the saved figures.
+ * Renders the tables of docs/CAPACITY.md from the saved figures.
  *
  * @module
  */
@@ -8,9 +8,9 @@
   buildDataPath,
   computeTotal,
   type Cost,
-  type Duty,
-  listDuties,
-} from "./duties.ts";
+  listRoleCosts,
+  type RoleCost,
+} from "./role_costs.ts";
 import { computeAt, type Slope } from "./slope.ts";
 import type { SlopeFile } from "./slope_file.ts";
 import { computeShare, LIMITS, TARGET } from "./target.ts";
@@ -18,18 +18,20 @@
 const MS_PER_PERCENT = 10;
 const BYTES_PER_KB = 1_000;
 const SECONDS_PER_MINUTE = 60;
-/** Of the virtual fleet in which the calls to the service were counted. */
+/**
+ * Data centres of the virtual fleet whose calls to the service were counted.
+ */
 const MEASURED_DATA_CENTRES = 4;
 const WATCHERS = 2;
-/** An answered watch and the group that it tells of. */
+/** The watch and the fetch of the changed group. */
 const CALLS_FOR_CHANGE = 2;
 
-/** `page` with every table between its marks made anew from `file`. */
+/** Returns `page` with the tables between its markers rendered from `file`. */
 export function renderPage(page: string, file: SlopeFile): string {
   const tables: Record<string, string> = {
     run: renderRun(file),
     share: renderShare(),
-    duties: renderDuties(file),
+    duties: renderRoleCosts(file),
     limits: renderLimits(file),
     slopes: renderSlopes(file),
     checks: renderChecks(file),
@@ -46,7 +48,7 @@
   const end = `<!-- end ${name} -->`;
   const from = page.indexOf(begin);
   const to = page.indexOf(end);
-  if (from < 0 || to < from) throw new Error(`No place for table ${name}`);
+  if (from < 0 || to < from) throw new Error(`No markers for table ${name}`);
   const head = page.slice(0, from + begin.length);
   return `${head}\n\n${table}\n\n${page.slice(to)}`;
 }
@@ -83,14 +85,14 @@
   ]);
 }
 
-function renderDuties(file: SlopeFile): string {
-  const duties = listDuties(file);
-  const rows = duties.map((duty) => renderDuty(duty));
-  const total: Duty = {
+function renderRoleCosts(file: SlopeFile): string {
+  const costs = listRoleCosts(file);
+  const rows = costs.map((cost) => renderRoleCost(cost));
+  const total: RoleCost = {
     role: "**All control**",
     mechanism: "",
-    mean: computeTotal(duties.map(({ mean }) => mean)),
-    most: computeTotal(duties.map(({ most }) => most)),
+    mean: computeTotal(costs.map(({ mean }) => mean)),
+    busiest: computeTotal(costs.map(({ busiest }) => busiest)),
   };
   return renderMarkdownTable([
     [
@@ -104,12 +106,14 @@
       "KB/s",
     ],
     ...rows,
-    renderDuty(total),
-    renderDuty(buildDataPath(file)),
+    renderRoleCost(total),
+    renderRoleCost(buildDataPath(file)),
   ]);
 }
 
-function renderDuty({ role, mechanism, mean, most }: Duty): string[] {
+function renderRoleCost(
+  { role, mechanism, mean, busiest }: RoleCost,
+): string[] {
   return [
     role,
     mechanism,
@@ -117,15 +121,15 @@
     formatPercent(mean),
     formatNumber(mean.bytes / BYTES_PER_KB),
     formatNumber(mean.memoryMib),
-    formatPercent(most),
-    formatNumber(most.bytes / BYTES_PER_KB),
+    formatPercent(busiest),
+    formatNumber(busiest.bytes / BYTES_PER_KB),
   ];
 }
 
 function renderLimits(file: SlopeFile): string {
-  const duties = listDuties(file);
-  const mean = computeTotal(duties.map((duty) => duty.mean));
-  const most = computeTotal(duties.map((duty) => duty.most));
+  const costs = listRoleCosts(file);
+  const mean = computeTotal(costs.map((cost) => cost.mean));
+  const busiest = computeTotal(costs.map((cost) => cost.busiest));
   const memory = mean.memoryMib + buildDataPath(file).mean.memoryMib;
   const rows: [string, number, number, string][] = [
     [
@@ -136,7 +140,7 @@
     ],
     [
       "processor, busiest VM",
-      most.processorMs / MS_PER_PERCENT,
+      busiest.processorMs / MS_PER_PERCENT,
       LIMITS.processorMs / MS_PER_PERCENT,
       "% of a core",
     ],
@@ -148,7 +152,7 @@
     ],
     [
       "bytes, busiest VM",
-      most.bytes / BYTES_PER_KB,
+      busiest.bytes / BYTES_PER_KB,
       LIMITS.bytes / BYTES_PER_KB,
       "KB/s",
     ],
@@ -179,7 +183,7 @@
   ]);
 }
 
-/** Of the whole fleet, a second. */
+/** Computes the calls of the whole fleet per second. */
 function computeServiceCalls(file: SlopeFile): number {
   const slope = file.slopes.find(({ name }) => {
     return name === "configuration service: calls";
@@ -232,7 +236,7 @@
   return formatNumber(processorMs / MS_PER_PERCENT);
 }
 
-/** Three digits, without an exponent. */
+/** Formats with three significant digits and no exponent. */
 function formatNumber(value: number): string {
   if (value === 0) return "0";
   const magnitude = Math.floor(Math.log10(Math.abs(value)));
--- a/bench/slopes/order_slopes.ts
+++ b/bench/slopes/command_slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes of the giver of orders: a round of one VM.
+ * Slopes of the engine controller: a round on one VM.
  *
  * @module
  */
@@ -21,8 +21,8 @@
 const REPLICAS = 2_500;
 const ROUNDS = 5;
 
-/** Measures a round of a fleet of so many VMs and 2,500 replicas. */
-export async function collectOrderSlopes(): Promise<Slope[]> {
+/** Measures a round in fleets of several sizes with 2,500 replicas. */
+export async function collectCommandSlopes(): Promise<Slope[]> {
   return [
     await collectSlope("orders, a round: processor", VMS, {
       size: "VMs, with 2,500 replicas",
@@ -38,7 +38,7 @@
   const membership = new FakeMembership();
   membership.entryVms = list.vms.filter(({ role }) => role === "entry");
   membership.upstreams = list.vms.filter(({ role }) => role === "upstream");
-  const giver = EngineController.create({
+  const controller = EngineController.create({
     environment: {
       vm: membership.entryVms[0]!.id,
       incarnation: toId("1"),
@@ -62,6 +62,6 @@
     },
   });
   return countProcessorTime(ROUNDS, async (count) => {
-    for (let index = 0; index < count; index++) await giver.runRound();
+    for (let index = 0; index < count; index++) await controller.runRound();
   });
 }
--- a/bench/slopes/configuration_slopes.ts
+++ b/bench/slopes/configuration_slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes of a change of the configuration and of the membership list.
+ * Slopes of the cost of configuration and membership list changes.
  *
  * @module
  */
@@ -22,10 +22,13 @@
 const REPLICAS = [320, 640, 1_280, 2_560];
 const VMS = 380;
 const CHANGES = 4;
-/** More than are applied, with those that warm the code up. */
+/** Upper limit of the changes applied, including warm-up. */
 const MAX_CHANGES = 400;
 
-/** Measures configurations by workspaces and lists by replicas. */
+/**
+ * Measures configurations by number of workspaces and lists by number of
+ * replicas.
+ */
 export async function collectConfigurationSlopes(): Promise<Slope[]> {
   return [
     await collectSlope("configuration: bytes", WORKSPACES, {
@@ -84,7 +87,7 @@
   });
 }
 
-/** Each change replaces one workspace; the other records stay as they are. */
+/** Measures changes that replace one workspace and keep the other records. */
 function countChange(workspaces: number): Promise<number> {
   const store = ConfigurationStore.create(VirtualClock.create());
   const records = buildLargeRecords(workspaces);
@@ -110,13 +113,16 @@
     for (let index = 0; index < count; index++) {
       version += 1;
       const next = store.buildRecords(steps[version - 2]);
-      if (next === undefined) throw new Error("The steps do not fit");
+      if (next === undefined) throw new Error("The delta does not fit");
       store.apply({ version, records: next, from: "entry-1" });
     }
   });
 }
 
-/** The steps of so many changes of one record each, and what they apply to. */
+/**
+ * Builds the deltas of `count` changes of one record each, and the store and
+ * records to which they apply.
+ */
 function createChanges(
   workspaces: number,
   count: number,
--- a/bench/slopes/fakes.ts
+++ b/bench/slopes/fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Upstreams of the slopes: they report what they are told to.
+ * Fake upstream transports for the slopes.
  *
  * @module
  */
@@ -8,28 +8,31 @@
   UpstreamTransport,
 } from "../../src/connection/upstream_transport.ts";
 
-/** Upstreams that report `load`, have no cache events and take orders. */
+/**
+ * Creates upstreams that report `load`, have no cache events and accept
+ * commands.
+ */
 export function createReportingTransport(load: LoadReport): UpstreamTransport {
   return {
     send: refuseCall,
     fetchLoad: () => Promise.resolve(load),
     fetchCacheEvents: () => Promise.resolve([]),
-    sendOrder: () => Promise.resolve(true),
+    sendCommand: () => Promise.resolve(true),
     copyCache: () => Promise.resolve(0),
   } as unknown as UpstreamTransport;
 }
 
-/** Upstreams that answer nothing. */
+/** Creates upstreams that fail every call. */
 export function createRefusingTransport(): UpstreamTransport {
   return {
     send: refuseCall,
     fetchLoad: refuseCall,
     fetchCacheEvents: refuseCall,
-    sendOrder: refuseCall,
+    sendCommand: refuseCall,
     copyCache: refuseCall,
   } as unknown as UpstreamTransport;
 }
 
 function refuseCall(): Promise<never> {
-  return Promise.reject(new Error("The upstream does not answer"));
+  return Promise.reject(new Error("The fake upstream refuses all calls"));
 }
--- a/bench/slopes/fleet_slopes.ts
+++ b/bench/slopes/fleet_slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes of membership, probing, summaries and the watchers' calls against the
+ * Slopes of the cost of membership, probing, summaries and watches by the
  * number of VMs, in virtual time.
  *
  * @module
@@ -48,7 +48,7 @@
   },
 ];
 
-/** Slopes up to 128 VMs, and what 380 VMs were measured to cost. */
+/** Measures slopes up to 128 VMs, and the cost of 380 VMs as a check. */
 export async function collectFleetSlopes(): Promise<
   { slopes: Slope[]; checks: Record<string, number> }
 > {
--- a/bench/slopes/large_records.ts
+++ b/bench/slopes/large_records.ts
@@ -1,5 +1,5 @@
 /**
- * Records and a membership list of any size, as they are published.
+ * Builds published records and membership lists of any size.
  *
  * @module
  */
@@ -14,10 +14,12 @@
 const MODELS = 6;
 const TIERS = 5;
 const DATA_CENTRES = 13;
-/** Upstreams of one shard; the records allow 32, and hashing is uneven. */
+/**
+ * Mean upstreams per shard; below the limit of 32, because hashing is uneven.
+ */
 const REPLICAS_PER_SHARD = 16;
 
-/** Published records with `workspaces` workspaces and six models. */
+/** Builds published records with `workspaces` workspaces and six models. */
 export function buildLargeRecords(
   workspaces: number,
   replicas = 2_500,
@@ -30,7 +32,7 @@
   ];
 }
 
-/** The snapshot of `buildLargeRecords`. */
+/** Builds the snapshot of `buildLargeRecords`. */
 export function buildLargeSnapshot(
   workspaces: number,
   replicas?: number,
@@ -43,7 +45,7 @@
   return result.snapshot;
 }
 
-/** A published list of entry VMs and upstreams over 13 data centres. */
+/** Builds a published list of entry VMs and upstreams in 13 data centres. */
 export function buildRawList(entries: number, upstreams: number): object {
   return {
     revision: 123_456,
@@ -62,7 +64,7 @@
   };
 }
 
-/** The same list, parsed. */
+/** Builds the same list, parsed. */
 export function buildLargeList(
   entries: number,
   upstreams: number,
@@ -70,7 +72,7 @@
   return parseMembershipList(buildRawList(entries, upstreams));
 }
 
-/** A workspace's record; `variant` tells one version of it from another. */
+/** Builds a workspace's record; `variant` distinguishes its versions. */
 export function buildWorkspace(index: number, variant = 0): object {
   const name = `workspace-${index}`;
   return {
--- a/bench/slopes/limit_slopes.ts
+++ b/bench/slopes/limit_slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes of the workspaces' limits against the number of workspaces.
+ * Slopes of the cost of workspace limits by the number of workspaces.
  *
  * @module
  */
@@ -10,9 +10,9 @@
 const SEED = 1;
 const BYTES_PER_KILOBYTE = 1_024;
 
-/** Measures eight VMs, each workspace with a request every 5 s. */
+/** Measures eight VMs, with one request per workspace every 5 s. */
 export async function collectLimitSlopes(): Promise<Slope[]> {
-  // The first run compiles the code.
+  // Warms up the code.
   await runManyWorkspaces(SEED, WORKSPACES[0]);
   const figures: ManyWorkspacesFigures[] = [];
   for (const count of WORKSPACES) {
--- a/bench/slopes/main.ts
+++ b/bench/slopes/main.ts
@@ -1,7 +1,7 @@
 /**
- * Measures what each role costs at several sizes:
- * `npm run slopes -- --save bench/results/slopes.json`, and writes the tables
- * of docs/CAPACITY.md from the saved figures: `npm run slopes -- --page`.
+ * Measures the cost of each role at several sizes with
+ * `npm run slopes -- --save bench/results/slopes.json`. Writes the tables of
+ * docs/CAPACITY.md from the saved figures with `npm run slopes -- --page`.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 import { collectConfigurationSlopes } from "./configuration_slopes.ts";
 import { collectFleetSlopes } from "./fleet_slopes.ts";
 import { collectLimitSlopes } from "./limit_slopes.ts";
-import { collectOrderSlopes } from "./order_slopes.ts";
+import { collectCommandSlopes } from "./command_slopes.ts";
 import { collectOwnershipSlopes } from "./ownership_slopes.ts";
 import { collectPeerSlopes } from "./peer_slopes.ts";
 import { collectShardSlopes } from "./shard_slopes.ts";
@@ -27,7 +27,7 @@
 const COMMAND = "npm run slopes -- --save bench/results/slopes.json";
 const FILE = "bench/results/slopes.json";
 const PAGE = "docs/CAPACITY.md";
-/** Of the virtual fleets; nothing else is drawn at random. */
+/** Seed of the virtual fleets, the only use of randomness. */
 const SEED = 1;
 
 const ROLES: Record<string, () => Promise<Slope[]>> = {
@@ -37,7 +37,7 @@
   limit: collectLimitSlopes,
   configuration: collectConfigurationSlopes,
   store: collectStoreSlopes,
-  order: collectOrderSlopes,
+  order: collectCommandSlopes,
   stream: collectStreamSlopes,
 };
 
@@ -45,8 +45,14 @@
 
 async function main(): Promise<void> {
   const args = await yargs(hideBin(process.argv))
-    .option("save", { type: "string", describe: "File for the figures" })
-    .option("page", { type: "boolean", describe: `Writes ${PAGE}` })
+    .option("save", {
+      type: "string",
+      describe: "File to which the figures are written",
+    })
+    .option("page", {
+      type: "boolean",
+      describe: `Write ${PAGE} from the saved figures`,
+    })
     .strict()
     .parseAsync();
   if (args.page === true) {
--- a/bench/slopes/markdown_table.ts
+++ b/bench/slopes/markdown_table.ts
@@ -1,16 +1,16 @@
 /**
- * Tables as the formatter leaves them.
+ * Renders Markdown tables in the formatter's layout.
  *
  * @module
  */
-const LEAST_WIDTH = 3;
+const MIN_WIDTH = 3;
 
-/** A Markdown table whose first row is its head. */
+/** Renders a Markdown table; the first row is the header. */
 export function renderMarkdownTable(rows: readonly string[][]): string {
   const [head, ...body] = rows;
   const widths = head!.map((_, column) => {
     const lengths = rows.map((row) => row[column]!.length);
-    return Math.max(LEAST_WIDTH, ...lengths);
+    return Math.max(MIN_WIDTH, ...lengths);
   });
   const dashes = widths.map((width) => "-".repeat(width));
   return [head!, dashes, ...body]
--- a/bench/slopes/ownership_slopes.ts
+++ b/bench/slopes/ownership_slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of what every VM does for all replicas and shards, whoever owns them:
- * finding its own shards, and choosing a shard for a request.
+ * Slopes of the work that every VM does for all replicas and shards: finding
+ * the shards that it owns, and choosing a shard for a request.
  *
  * @module
  */
@@ -28,10 +28,10 @@
 const SECONDS = 5;
 const REQUESTS = 100;
 const MS_PER_SECOND = 1_000;
-/** Stands in no list, so that it owns nothing and calls nobody. */
-const OUTSIDER = toId<VmId>("outsider");
+/** A VM that is not on the list, so that it owns nothing and calls no peer. */
+const UNLISTED_VM = toId<VmId>("outsider");
 
-/** Measures what grows with replicas and shards at every VM. */
+/** Measures the costs that grow with replicas and shards on every VM. */
 export async function collectOwnershipSlopes(): Promise<Slope[]> {
   return [
     await collectSlope("ownership rounds: processor", REPLICAS, {
@@ -81,14 +81,14 @@
     membership,
     getSnapshot: () => snapshot,
     getLocal: () => {
-      throw new Error("No call is made");
+      throw new Error("Unexpected call to the local owner");
     },
   });
   const signal = AbortSignal.abort();
   let requests = 0;
   return await countProcessorTime(REQUESTS, async (count) => {
     for (let index = 0; index < count; index++) {
-      // A caller that has gone: the shard is chosen, and nobody is called.
+      // The signal is aborted: a shard is chosen, but no owner is called.
       await leases.acquire(buildRequest(requests++), { signal, onStep() {} })
         .catch(() => {});
     }
@@ -108,7 +108,7 @@
 
 function createEnvironment(): Environment {
   return {
-    vm: OUTSIDER,
+    vm: UNLISTED_VM,
     incarnation: toId("1"),
     dataCentre: toId("dc-0"),
     clock: VirtualClock.create(),
--- a/bench/slopes/peer_messages.ts
+++ b/bench/slopes/peer_messages.ts
@@ -1,5 +1,5 @@
 /**
- * Calls between VMs, of the lengths that they have in a large fleet.
+ * Builds calls between VMs of the sizes that they have in a large fleet.
  *
  * @module
  */
@@ -14,7 +14,7 @@
   SyncCall,
 } from "../../src/process/peer_api.ts";
 
-/** The secret between both ends of the bench. */
+/** Secret between both ends of the benchmark. */
 export const PEER_SECRET = "slopes-secret-of-32-characters-..";
 
 const FROM: PeerIdentity = {
@@ -23,7 +23,7 @@
 };
 const REQUEST_ID = "entry-217.9f86d081884c7d65.48123.1a2b3c4d.0f3a9c1bd2e45f60";
 
-/** A call for a slot of a request with `prefixes` prompt prefixes. */
+/** Builds an acquire call for a request with `prefixes` prompt prefixes. */
 export function buildAcquire(prefixes: number): AcquireCall {
   return {
     from: FROM,
@@ -49,17 +49,17 @@
   };
 }
 
-/** A call that renews `leases` leases. */
+/** Builds a call that renews `leases` leases. */
 export function buildSync(leases: number): SyncCall {
   return {
     from: FROM,
     shard: toId("models-3/12"),
-    news: Array.from({ length: leases }, (_, index) => buildNews(index)),
+    news: Array.from({ length: leases }, (_, index) => buildLeaseUpdate(index)),
     withdrawn: [],
   };
 }
 
-/** A probe with `summaries` summaries and a piece of news. */
+/** Builds a probe with `summaries` shard summaries. */
 export function buildProbe(summaries: number): ProbeCall {
   return {
     from: FROM,
@@ -74,7 +74,7 @@
   };
 }
 
-/** A call for a chunk of a workspace's limit. */
+/** Builds a call that leases a chunk of a workspace's limit. */
 export function buildLimitCall(): LimitCall {
   return {
     from: FROM,
@@ -84,7 +84,7 @@
   };
 }
 
-/** What owners announce of `count` shards. */
+/** Builds the summaries of `count` shards. */
 export function buildSummaries(count: number): ShardSummary[] {
   return Array.from({ length: count }, (_, index) => ({
     shard: toId(`models-3/${index}`),
@@ -98,7 +98,7 @@
   }));
 }
 
-function buildNews(index: number): LeaseUpdate {
+function buildLeaseUpdate(index: number): LeaseUpdate {
   return {
     lease: toId(`models-3/12:0f3a9c1b:${48_000 + index}`),
     ticket: toId(`entry-217.1a2b3c4d.${48_000 + index}`),
--- a/bench/slopes/peer_slopes.ts
+++ b/bench/slopes/peer_slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of calls over sockets on loopback: processor time of both ends, and
- * bytes with all headers.
+ * Slopes of calls over sockets on loopback: processor time at both ends, and
+ * bytes including headers.
  *
  * @module
  */
@@ -29,21 +29,21 @@
 const CALLS = 600;
 const ROUNDS = 5;
 const WARM_UP_CALLS = 3_000;
-/** Calls on their way at once, where the size is something else. */
-const AT_ONCE = 4;
-const AT_ONCE_SIZES = [1, 2, 4, 8];
+/** Concurrent calls, unless the size is the concurrency itself. */
+const CONCURRENCY = 4;
+const CONCURRENCY_SIZES = [1, 2, 4, 8];
 const CALLS_FOR_BYTES = 50;
 const LEASES = [0, 1, 4, 16, 64];
 const PREFIXES = [0, 4, 8, 16];
 const SUMMARIES = [0, 2, 4, 6];
 const EVENTS = [0, 8, 32, 128];
-const AT_ONCE_LABEL = "calls at once";
+const CONCURRENCY_LABEL = "calls at once";
 const PEER = toId<VmId>("entry-300");
 const ENGINE = toId<VmId>("engine-1");
 
 type Call = () => Promise<unknown>;
 
-/** What a call costs at each end. */
+/** Cost of a call: µs at each end, and bytes. */
 interface CallCost {
   client: number;
   server: number;
@@ -72,12 +72,12 @@
         size: "summaries each way",
         build: (peer, size) => () => peer.probe(buildProbe(size)),
       }),
-      ...await bench.collectCalls("limit call", AT_ONCE_SIZES, {
-        size: AT_ONCE_LABEL,
+      ...await bench.collectCalls("limit call", CONCURRENCY_SIZES, {
+        size: CONCURRENCY_LABEL,
         build: (peer) => () => peer.leaseLimit(buildLimitCall()),
       }),
-      ...await bench.collectReports("load report", AT_ONCE_SIZES, {
-        size: AT_ONCE_LABEL,
+      ...await bench.collectReports("load report", CONCURRENCY_SIZES, {
+        size: CONCURRENCY_LABEL,
         build: (transport) => () => transport.fetchLoad(ENGINE),
       }),
       ...await bench.collectReports("cache events", EVENTS, {
@@ -123,7 +123,9 @@
     this.#engine.close();
   }
 
-  /** Lets both ends compile their code before anything counts. */
+  /**
+   * Warms up both ends, so that their code is compiled before the measurement.
+   */
   async runWarmUp(): Promise<void> {
     const directory = createDirectory(this.#ports.peers);
     const transport = createTransport(this.#ports.engine);
@@ -134,7 +136,7 @@
       () => peer.probe(buildProbe(4)),
       () => transport.fetchLoad(ENGINE),
     ];
-    for (const call of calls) await runCalls(call, WARM_UP_CALLS, AT_ONCE);
+    for (const call of calls) await runCalls(call, WARM_UP_CALLS, CONCURRENCY);
     directory.close();
     transport.close();
   }
@@ -196,8 +198,10 @@
     const costs: [number, CallCost][] = [];
     for (const size of sizes) {
       const { direct, counted } = options.build(size);
-      const atOnce = options.size === AT_ONCE_LABEL ? size : AT_ONCE;
-      const times = await this.#countTimes(direct, atOnce);
+      const concurrency = options.size === CONCURRENCY_LABEL
+        ? size
+        : CONCURRENCY;
+      const times = await this.#countTimes(direct, concurrency);
       const bytes = await countBytes(counted, options.relay);
       costs.push([size, { ...times, bytes }]);
     }
@@ -217,18 +221,18 @@
 
   async #countTimes(
     call: Call,
-    atOnce: number,
+    concurrency: number,
   ): Promise<Omit<CallCost, "bytes">> {
     const client: number[] = [];
     const server: number[] = [];
-    await runCalls(call, CALLS, atOnce);
+    await runCalls(call, CALLS, concurrency);
     for (let round = 0; round < ROUNDS; round++) {
-      const farBefore = await this.#fetchUsage();
+      const serverBefore = await this.#fetchUsage();
       const before = process.cpuUsage();
-      await runCalls(call, CALLS, atOnce);
+      await runCalls(call, CALLS, concurrency);
       const { user, system } = process.cpuUsage(before);
       client.push((user + system) / CALLS);
-      server.push((await this.#fetchUsage() - farBefore) / CALLS);
+      server.push((await this.#fetchUsage() - serverBefore) / CALLS);
     }
     return { client: computeMedian(client), server: computeMedian(server) };
   }
@@ -243,7 +247,7 @@
 async function runCalls(
   call: Call,
   count: number,
-  atOnce: number,
+  concurrency: number,
 ): Promise<void> {
   let left = count;
   const run = async () => {
@@ -252,7 +256,7 @@
       await call();
     }
   };
-  await Promise.all(Array.from({ length: atOnce }, run));
+  await Promise.all(Array.from({ length: concurrency }, run));
 }
 
 async function countBytes(call: Call, relay: ByteRelay): Promise<number> {
@@ -281,7 +285,7 @@
 
 function readMessage<T>(child: ChildProcess): Promise<T> {
   return new Promise((resolve, reject) => {
-    const onExit = () => reject(new Error("The other end is gone"));
+    const onExit = () => reject(new Error("The peer process exited"));
     child.once("exit", onExit);
     child.once("message", (message) => {
       child.off("exit", onExit);
--- a/bench/slopes/duties.ts
+++ b/bench/slopes/role_costs.ts
@@ -1,5 +1,5 @@
 /**
- * What each role costs one VM at the target's size, from the slopes.
+ * Computes from the slopes what each role costs a VM at the target's size.
  *
  * @module
  */
@@ -10,55 +10,55 @@
 const US_PER_MS = 1_000;
 const KIB_PER_MIB = 1_024;
 const POLLS_PER_SECOND = 1;
-/** Reports that the giver of a pool's orders asks for at most. */
-const ORDER_POLLS_PER_SECOND = 20;
-const ORDER_ROUNDS_PER_SECOND = 0.5;
+/** Maximum rate at which a pool's engine controller polls load reports. */
+const COMMAND_POLLS_PER_SECOND = 20;
+const COMMAND_ROUNDS_PER_SECOND = 0.5;
 const SUMMARIES_PER_SECOND = 2;
 const SUMMARIES_PER_MESSAGE = 6;
 const PREFIXES = 4;
-/** Stored and evicted prefixes for each request. */
+/** Cache events per request: each prefix is stored and later evicted. */
 const EVENTS_PER_REQUEST = 2 * PREFIXES;
-/** Probes sent at once at each new version. */
+/** Probes that a VM sends at once for each new version. */
 const FAN_OUT = 2;
-/** Part of the requests whose id was issued before. */
-const CLAIMED_SHARE = 0.1;
-const LIMIT_LIFE_S = 60;
-const MAX_FATES = 20_000;
+/** Share of requests that use a previously issued request id. */
+const ISSUED_ID_SHARE = 0.1;
+const LIMIT_TTL_S = 60;
+const MAX_STATUS_RECORDS = 20_000;
 const MAX_ANSWERS_MIB = 32;
 const MAX_CLAIMS = 50_000;
 const MAX_ENTRIES = 1_000;
-/** Both ends of a call lie on VMs of the fleet. */
+/** Both ends of a call are VMs of the fleet. */
 const ENDS = 2;
 
-/** What one VM spends in a second, and holds. */
+/** Cost for one VM: rates per second, and memory. */
 export interface Cost {
-  /** Calls sent; as many come in where the other end is a VM too. */
+  /** Calls sent; as many are received if the other end is also a VM. */
   calls: number;
-  /** Milliseconds of processor time a second; 10 are 1% of a core. */
+  /** Milliseconds of processor time per second; 10 are 1% of a core. */
   processorMs: number;
   bytes: number;
   memoryMib: number;
 }
 
-/** One role at the target's size. */
-export interface Duty {
+/** Cost of one role at the target's size. */
+export interface RoleCost {
   role: string;
   mechanism: string;
-  /** The average VM. */
+  /** Cost for the average VM. */
   mean: Cost;
-  /** The VM that owns the most replicas. */
-  most: Cost;
+  /** Cost for the VM that owns the most replicas. */
+  busiest: Cost;
 }
 
-/** Every role of control. */
-export function listDuties(file: SlopeFile): Duty[] {
+/** Lists the costs of all control-plane roles. */
+export function listRoleCosts(file: SlopeFile): RoleCost[] {
   const slopes = new Slopes(file);
   const share = computeShare();
   return [
     buildAcquires(slopes, share),
     buildSyncs(slopes, share),
     buildPolls(slopes, share),
-    buildOrders(slopes),
+    buildCommands(slopes),
     buildProbing(slopes, file),
     buildConfiguration(slopes, share),
     buildLists(slopes, share),
@@ -66,12 +66,12 @@
     buildClaims(slopes, share),
     buildOwnership(slopes, share),
     buildFigures(slopes, share),
-    buildFates(slopes),
+    buildRequestRecords(slopes),
   ];
 }
 
-/** The way of callers' bytes, which is not control. */
-export function buildDataPath(file: SlopeFile): Duty {
+/** Builds the cost of the data plane: callers' requests and tokens. */
+export function buildDataPath(file: SlopeFile): RoleCost {
   const slopes = new Slopes(file);
   const { requests, tokens, streams } = computeShare();
   const request = slopes.get("request at another VM: processor");
@@ -87,7 +87,7 @@
     role: "Requests and tokens",
     mechanism: "a task for each request",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
@@ -112,18 +112,20 @@
 
   get(name: string): Slope {
     const slope = this.#byName.get(name);
-    if (slope === undefined) throw new Error(`No slope named ${name}`);
+    if (slope === undefined) throw new Error(`Unknown slope: ${name}`);
     return slope;
   }
 
-  /** A size that was measured stands for itself, any other for the line. */
+  /**
+   * Returns the measured value if `size` was measured, else the line's value.
+   */
   getAt(name: string, size: number): number {
     const slope = this.get(name);
     const point = slope.points.find(([one]) => one === size);
     return point?.[1] ?? computeAt(slope, size);
   }
 
-  /** A call's cost with its two ends apart, in µs and bytes. */
+  /** Returns a call's cost in µs at each end, and its bytes. */
   getCall(
     name: string,
     size: number,
@@ -136,7 +138,10 @@
   }
 }
 
-/** Calls between VMs: `sent` by a VM, `answered` by it. */
+/**
+ * Builds the cost of calls that a VM sends and answers; `ownUs` is the
+ * handler's time.
+ */
 function buildCalls(
   call: { client: number; server: number; bytes: number },
   counts: { sent: number; answered: number; ownUs?: number },
@@ -151,25 +156,25 @@
   };
 }
 
-function buildAcquires(slopes: Slopes, share: Share): Duty {
+function buildAcquires(slopes: Slopes, share: Share): RoleCost {
   const call = slopes.getCall("acquire", PREFIXES);
   const ownUs = slopes.getAt("owner, a grant: processor", 0);
   const sent = share.requests;
-  const answered = computeOwned(share) * TARGET.requestsPerSecond;
+  const answered = computeBusiestShare(share) * TARGET.requestsPerSecond;
   return {
     role: "Slots: acquire and grant",
     mechanism: "one owner for each shard, by rendezvous hashing",
     mean: buildCalls(call, { sent, answered: sent, ownUs }),
-    most: buildCalls(call, { sent, answered, ownUs }),
+    busiest: buildCalls(call, { sent, answered, ownUs }),
   };
 }
 
-function buildSyncs(slopes: Slopes, share: Share): Duty {
+function buildSyncs(slopes: Slopes, share: Share): RoleCost {
   const call = slopes.getCall("sync", 1);
   const renewal = slopes.get("owner, leases: processor");
   const heap = slopes.get("owner, leases: heap");
   const sent = share.requests * share.syncs;
-  const answered = computeOwned(share) * TARGET.requestsPerSecond *
+  const answered = computeBusiestShare(share) * TARGET.requestsPerSecond *
     share.syncs;
   const build = (calls: number, replicas: number): Cost => {
     const cost = buildCalls(call, { sent, answered: calls });
@@ -183,11 +188,11 @@
     role: "Slots: renew and return",
     mechanism: "batches for each shard that a VM holds leases of",
     mean: build(sent, share.replicas),
-    most: build(answered, share.mostReplicas),
+    busiest: build(answered, share.mostReplicas),
   };
 }
 
-function buildPolls(slopes: Slopes, share: Share): Duty {
+function buildPolls(slopes: Slopes, share: Share): RoleCost {
   const load = slopes.getCall("load report", 1);
   const events = EVENTS_PER_REQUEST * TARGET.requestsPerSecond /
     TARGET.replicas;
@@ -204,16 +209,16 @@
     role: "Load reports and cache events",
     mechanism: "a shard's owner alone polls its replicas, once a second",
     mean: build(share.replicas),
-    most: build(share.mostReplicas),
+    busiest: build(share.mostReplicas),
   };
 }
 
-function buildOrders(slopes: Slopes): Duty {
+function buildCommands(slopes: Slopes): RoleCost {
   const load = slopes.getCall("load report", 1);
   const round = slopes.getAt("orders, a round: processor", TARGET.vms);
   const build = (polls: number): Cost => ({
     calls: polls,
-    processorMs: (polls * load.client + round * ORDER_ROUNDS_PER_SECOND) /
+    processorMs: (polls * load.client + round * COMMAND_ROUNDS_PER_SECOND) /
       US_PER_MS,
     bytes: polls * load.bytes,
     memoryMib: 0,
@@ -221,17 +226,17 @@
   return {
     role: "Orders to engines",
     mechanism: "one giver a pool, by the list; 20 reports a second at most",
-    mean: build(TARGET.models * ORDER_POLLS_PER_SECOND / TARGET.vms),
-    most: build(ORDER_POLLS_PER_SECOND),
+    mean: build(TARGET.models * COMMAND_POLLS_PER_SECOND / TARGET.vms),
+    busiest: build(COMMAND_POLLS_PER_SECOND),
   };
 }
 
-function buildProbing(slopes: Slopes, file: SlopeFile): Duty {
+function buildProbing(slopes: Slopes, file: SlopeFile): RoleCost {
   const size = `at ${TARGET.vms} VMs`;
   const messages = file.checks[`probing: messages ${size}`]!;
   const ownUs = file.checks[`probing: processor ${size}`]!;
   const heap = file.checks[`probing: heap ${size}`]!;
-  // A call is two messages sent and two received, over both ends.
+  // Each call has two messages, each counted as sent and as received.
   const sent = messages / 4;
   const cost = buildCalls(
     slopes.getCall("probe", SUMMARIES_PER_MESSAGE),
@@ -248,11 +253,11 @@
     role: "Membership, summaries",
     mechanism: "SWIM: one probe in 500 ms, news and summaries on it",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildConfiguration(slopes: Slopes, share: Share): Duty {
+function buildConfiguration(slopes: Slopes, share: Share): RoleCost {
   const rate = share.changesPerSecond;
   const probe = slopes.getCall("probe", SUMMARIES_PER_MESSAGE);
   const fetch = slopes.getCall("limit call", 1);
@@ -284,18 +289,18 @@
     role: "Configuration",
     mechanism: "2 watchers a data centre; steps from VM to VM",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildLists(slopes: Slopes, share: Share): Duty {
+function buildLists(slopes: Slopes, share: Share): RoleCost {
   const rate = share.listsPerSecond;
   const bytes = slopes.getAt("membership list: bytes", TARGET.replicas);
-  const readUs = slopes.getAt("membership list: processor", TARGET.replicas);
+  const parseUs = slopes.getAt("membership list: processor", TARGET.replicas);
   const heap = slopes.getAt("membership list: heap", TARGET.replicas);
   const mean: Cost = {
     calls: rate,
-    processorMs: rate * readUs / US_PER_MS,
+    processorMs: rate * parseUs / US_PER_MS,
     bytes: rate * ENDS * bytes,
     memoryMib: heap / KIB_PER_MIB,
   };
@@ -303,14 +308,14 @@
     role: "Membership list",
     mechanism: "the watchers read it; whole lists from VM to VM",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildLimits(slopes: Slopes, share: Share): Duty {
+function buildLimits(slopes: Slopes, share: Share): RoleCost {
   const sent = share.requests;
   const ownUs = slopes.getAt("limits: processor", TARGET.workspaces);
-  const held = Math.min(TARGET.workspaces, sent * LIMIT_LIFE_S);
+  const held = Math.min(TARGET.workspaces, sent * LIMIT_TTL_S);
   const cost = buildCalls(slopes.getCall("limit call", 1), {
     sent,
     answered: sent,
@@ -322,14 +327,14 @@
     role: "Workspaces' limits",
     mechanism: "an owner for each workspace leases chunks",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildClaims(slopes: Slopes, share: Share): Duty {
-  const sent = 2 * CLAIMED_SHARE * share.requests;
+function buildClaims(slopes: Slopes, share: Share): RoleCost {
+  const sent = 2 * ISSUED_ID_SHARE * share.requests;
   const ownUs = slopes.getAt("run claims: processor", MAX_CLAIMS);
-  // A claim and a settlement are calls of the length of a limit's.
+  // A claim and its settlement are calls of the same size as a limit call.
   const cost = buildCalls(slopes.getCall("limit call", 1), {
     sent,
     answered: sent,
@@ -341,11 +346,11 @@
     role: "Run claims",
     mechanism: "the VM that issued an id, 50,000 claims at most",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildOwnership(slopes: Slopes, share: Share): Duty {
+function buildOwnership(slopes: Slopes, share: Share): RoleCost {
   const rounds = slopes.getAt("ownership rounds: processor", TARGET.replicas);
   const choice = slopes.getAt("shard choice: processor", TARGET.replicas);
   const mean: Cost = {
@@ -358,11 +363,11 @@
     role: "Finding shards and owners",
     mechanism: "each VM works them out from the list, with no word",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildFigures(slopes: Slopes, share: Share): Duty {
+function buildFigures(slopes: Slopes, share: Share): RoleCost {
   const finished = slopes.getAt("figures: processor", MAX_ENTRIES);
   const heap = slopes.getAt("figures: heap", MAX_ENTRIES);
   const mean: Cost = {
@@ -375,27 +380,27 @@
     role: "Figures and burn series",
     mechanism: "each VM its own, 1,000 classes of workspaces at most",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-function buildFates(slopes: Slopes): Duty {
-  const fates = slopes.getAt("fate store: heap", MAX_FATES);
+function buildRequestRecords(slopes: Slopes): RoleCost {
+  const statusRecords = slopes.getAt("fate store: heap", MAX_STATUS_RECORDS);
   const mean: Cost = {
     calls: 0,
     processorMs: 0,
     bytes: 0,
-    memoryMib: fates / KIB_PER_MIB + MAX_ANSWERS_MIB,
+    memoryMib: statusRecords / KIB_PER_MIB + MAX_ANSWERS_MIB,
   };
   return {
     role: "Fates and kept answers",
     mechanism: "20,000 records and 32 MiB of answers at each VM",
     mean,
-    most: mean,
+    busiest: mean,
   };
 }
 
-/** The part of all replicas that the VM with most of them owns. */
-function computeOwned(share: Share): number {
+/** Computes the share of all replicas owned by the busiest VM. */
+function computeBusiestShare(share: Share): number {
   return share.mostReplicas / TARGET.replicas;
 }
--- a/bench/slopes/shard_slopes.ts
+++ b/bench/slopes/shard_slopes.ts
@@ -1,5 +1,5 @@
 /**
- * Slopes of a shard's owner: per waiter, lease, replica and summary.
+ * Slopes of a shard owner's cost per waiter, lease, replica and summary.
  *
  * @module
  */
@@ -38,7 +38,7 @@
 const SUMMARIES = 2_000;
 const SHARD: ShardId = buildShardId(toId("pool"), 0);
 
-/** Measures one shard's owner. */
+/** Measures the owner of one shard. */
 export async function collectShardSlopes(): Promise<Slope[]> {
   return [
     await collectSlope("owner, a grant: processor", WAITERS, {
@@ -84,15 +84,15 @@
   return await countProcessorTime(GRANTS, async (count) => {
     for (let index = 0; index < count; index++) {
       const ticket = bench.granted.at(-1)!;
-      const news = bench.leases.get(ticket)!;
+      const update = bench.leases.get(ticket)!;
       bench.leases.delete(ticket);
       bench.owner.syncLeases({
         from: { vm: toId("entry-1"), incarnation: toId("1") },
         shard: SHARD,
-        news: [{ ...news, state: "done", tokens: 300 }],
+        news: [{ ...update, state: "done", tokens: 300 }],
         withdrawn: [],
       });
-      bench.acquire(buildLargeCall(index));
+      bench.acquire(buildAcquireCall(index));
       await Promise.resolve();
       await bench.clock.run(0);
     }
@@ -118,7 +118,8 @@
   let ms = 0;
   return await countProcessorTime(SECONDS, async () => {
     for (let step = 0; step < SECONDS * MS_PER_SECOND / STEP_MS; step++) {
-      // Each holder calls once in 1.5 s, a part of them in each step.
+      // Each holder renews once per 1.5 s; the holders are spread over the
+      // steps.
       const part = ms % RENEW_EVERY_MS / STEP_MS;
       sendRenewals(bench, part, RENEW_EVERY_MS / STEP_MS);
       await bench.clock.run(STEP_MS);
@@ -147,28 +148,28 @@
   });
 }
 
-/** Renews the leases of every `of`-th holder, from `part` on. */
+/** Renews the leases of the holders whose number is `part` modulo `of`. */
 function sendRenewals(bench: OwnerHarness, part: number, of = 1): void {
   const byHolder = new Map<string, LeaseUpdate[]>();
-  for (const [ticket, news] of bench.leases) {
+  for (const [ticket, update] of bench.leases) {
     const holder = getHolder(ticket);
     if (holder % of !== part) continue;
     const vm = `entry-${holder}`;
-    byHolder.set(vm, [...byHolder.get(vm) ?? [], buildNews(news)]);
+    byHolder.set(vm, [...byHolder.get(vm) ?? [], buildRunningUpdate(update)]);
   }
-  for (const [vm, news] of byHolder) {
+  for (const [vm, updates] of byHolder) {
     bench.owner.syncLeases({
       from: { vm: toId(vm), incarnation: toId("1") },
       shard: SHARD,
-      news,
+      news: updates,
       withdrawn: [],
     });
   }
 }
 
-function buildNews(news: LeaseUpdate): LeaseUpdate {
+function buildRunningUpdate(update: LeaseUpdate): LeaseUpdate {
   return {
-    ...news,
+    ...update,
     state: "running",
     tokens: 100,
     firstTokenMs: 300,
@@ -176,16 +177,21 @@
   };
 }
 
-/** An owner of 16 replicas whose slots are taken, with so many waiting. */
+/**
+ * Creates an owner of 16 replicas without free slots and with `waiters` queued
+ * requests.
+ */
 async function createWaiting(waiters: number): Promise<OwnerHarness> {
   const bench = await createOwner(16);
   await takeSlots(bench, 16 * SLOTS_PER_REPLICA);
   for (let index = 0; index < waiters; index++) {
-    bench.acquire(buildLargeCall(index));
+    bench.acquire(buildAcquireCall(index));
   }
   await bench.clock.run(0);
   if (bench.owner.waitingCount !== waiters) {
-    throw new Error(`${bench.owner.waitingCount} wait, not ${waiters}`);
+    throw new Error(
+      `${bench.owner.waitingCount} requests are queued, expected ${waiters}`,
+    );
   }
   return bench;
 }
@@ -198,11 +204,13 @@
 
 async function takeSlots(bench: OwnerHarness, slots: number): Promise<void> {
   for (let index = 0; index < slots; index++) {
-    bench.acquire(buildLargeCall(index));
+    bench.acquire(buildAcquireCall(index));
   }
   await bench.clock.run(0);
   if (bench.leases.size !== slots) {
-    throw new Error(`${bench.leases.size} leases, not ${slots}`);
+    throw new Error(
+      `${bench.leases.size} leases were granted, expected ${slots}`,
+    );
   }
 }
 
@@ -231,7 +239,7 @@
   });
 }
 
-function buildLargeCall(index: number): AcquireCall {
+function buildAcquireCall(index: number): AcquireCall {
   const call = buildCall(`class-${index % CLASSES}`, {
     workspace: toId(`workspace-${index % WORKSPACES}`),
     prefixes: [`a${index % 50}`, `b${index % 50}`, `c${index}`],
--- a/bench/slopes/slope.ts
+++ b/bench/slopes/slope.ts
@@ -1,5 +1,5 @@
 /**
- * A cost measured at several sizes, and the straight line through it.
+ * Measures a cost at several sizes and fits a straight line.
  *
  * @module
  */
@@ -8,16 +8,16 @@
 
 const ROUNDS = 7;
 const HEAP_ROUNDS = 3;
-/** Processor time of rounds that do not count, in microseconds. */
+/** Minimum processor time of the warm-up rounds, in microseconds. */
 const WARM_UP_US = 400_000;
 const BYTES_PER_KILOBYTE = 1_024;
 
-/** One size and what was measured there. */
+/** A size and the value measured at it. */
 export type Point = [size: number, value: number];
 
-/** A line fitted by least squares, with what it was fitted to. */
+/** A line fitted by least squares, with its data points. */
 export interface Slope {
-  /** Names the slope within the file. */
+  /** Name of the slope, unique within the file. */
   name: string;
   /** What the size counts. */
   size: string;
@@ -25,13 +25,13 @@
   points: Point[];
   /** The line's value at size 0. */
   start: number;
-  /** What one more of the size adds. */
+  /** Increase per unit of size. */
   slope: number;
-  /** Root mean square of the distances, as a share of the mean value. */
+  /** Root mean square error divided by the mean value. */
   residual: number;
 }
 
-/** Fits a line through `points`. */
+/** Fits a line to `points`. */
 export function buildSlope(
   name: string,
   points: Point[],
@@ -45,12 +45,12 @@
   return { name, ...labels, points, start, slope, residual };
 }
 
-/** The line's value at `size`. */
+/** Returns the line's value at `size`. */
 export function computeAt(slope: Slope, size: number): number {
   return slope.start + slope.slope * size;
 }
 
-/** Takes `count` at each size and fits a line. */
+/** Measures `count` at each size and fits a line. */
 export async function collectSlope(
   name: string,
   sizes: readonly number[],
@@ -66,9 +66,9 @@
 }
 
 /**
- * Processor time of one operation in microseconds: the median of several
- * rounds of `count` operations, after a round that warms the code up. Time on
- * the wall would count what else runs on the machine.
+ * Measures the processor time of one operation in microseconds: the median of
+ * several rounds of `count` operations, after warm-up rounds. Wall time would
+ * include other processes on the machine.
  */
 export async function countProcessorTime(
   count: number,
@@ -94,11 +94,11 @@
   return user + system;
 }
 
-/** What `build` keeps on the heap, in KiB; what it gives is held till then. */
+/** Measures the heap of the result of `build`, in KiB. */
 export async function countHeap(
   build: () => unknown | Promise<unknown>,
 ): Promise<number> {
-  // What the code itself takes the first time is not the state's.
+  // The first run also allocates compiled code, which is not part of the state.
   await runOnce(build);
   const figures: number[] = [];
   for (let round = 0; round < HEAP_ROUNDS; round++) {
@@ -108,24 +108,24 @@
 }
 
 /**
- * The heap that one build adds. In a function of its own, since the frame of
- * a task that waits would keep the former build alive.
+ * Measures the heap that one build adds. This is a function of its own, because
+ * the frame of a suspended async function would keep the previous result alive.
  */
 async function runOnce(
   build: () => unknown | Promise<unknown>,
 ): Promise<number> {
   await new Promise((resolve) => setImmediate(resolve));
   const before = readHeap();
-  const held = await build();
+  const result = await build();
   await new Promise((resolve) => setImmediate(resolve));
   const after = readHeap();
-  if (held === undefined) throw new Error("Nothing is held");
+  if (result === undefined) throw new Error("build returned undefined");
   return (after - before) / BYTES_PER_KILOBYTE;
 }
 
-/** Bytes on the heap after a full collection. */
+/** Returns the bytes on the heap after a full garbage collection. */
 function readHeap(): number {
-  if (globalThis.gc === undefined) throw new Error("Run with --expose-gc");
+  if (globalThis.gc === undefined) throw new Error("Run Node with --expose-gc");
   globalThis.gc();
   globalThis.gc();
   return process.memoryUsage().heapUsed;
--- a/bench/slopes/slope_file.ts
+++ b/bench/slopes/slope_file.ts
@@ -1,11 +1,11 @@
 /**
- * The saved figures of one run.
+ * Format of the saved figures of one run.
  *
  * @module
  */
 import type { Slope } from "./slope.ts";
 
-/** What `npm run slopes -- --save FILE` writes. */
+/** Content of the file that `npm run slopes -- --save FILE` writes. */
 export interface SlopeFile {
   command: string;
   seed: number;
@@ -13,6 +13,6 @@
   node: string;
   cores: number;
   slopes: Slope[];
-  /** Measured at the target's size, beside the lines. */
+  /** Values measured at the target's size, to check the lines. */
   checks: Record<string, number>;
 }
--- a/bench/slopes/store_slopes.ts
+++ b/bench/slopes/store_slopes.ts
@@ -1,5 +1,6 @@
 /**
- * Slopes of what a VM keeps of requests: fates, answers, claims, figures.
+ * Slopes of the per-request stores of a VM: request status, answers, execution
+ * claims and figures.
  *
  * @module
  */
@@ -28,7 +29,7 @@
 const ANSWER_BYTES = 4_096;
 const CLASSES = 5;
 const FINISHED = 5_000;
-const MANY_BYTES = 2 ** 40;
+const UNLIMITED_BYTES = 2 ** 40;
 const STEPS: readonly RequestStep["step"][] = [
   "arrived",
   "queued",
@@ -44,7 +45,7 @@
     await collectSlope("fate store: heap", RECORDS, {
       size: "records with 6 steps",
       unit: "KiB",
-      count: (records) => countHeap(() => buildFates(records)),
+      count: (records) => countHeap(() => buildStatusStore(records)),
     }),
     await collectSlope("answer store: heap", ANSWERS, {
       size: "answers of 4 KiB",
@@ -85,10 +86,10 @@
   ];
 }
 
-function buildFates(count: number): RequestStatusStore {
+function buildStatusStore(count: number): RequestStatusStore {
   const store = RequestStatusStore.create({
     maxRecords: count,
-    maxBytes: MANY_BYTES,
+    maxBytes: UNLIMITED_BYTES,
   });
   for (let index = 0; index < count; index++) {
     const requestId = buildId(index);
@@ -119,7 +120,7 @@
 }
 
 function buildAnswers(count: number): AnswerStore {
-  const store = AnswerStore.create({ maxBytes: MANY_BYTES });
+  const store = AnswerStore.create({ maxBytes: UNLIMITED_BYTES });
   for (let index = 0; index < count; index++) {
     const body = Buffer.alloc(ANSWER_BYTES, index % 251);
     store.put(buildId(index), {
--- a/bench/slopes/stream_slopes.ts
+++ b/bench/slopes/stream_slopes.ts
@@ -1,6 +1,6 @@
 /**
- * Slopes of requests through whole daemons on loopback: processor time for a
- * request and a token, and memory for an open stream.
+ * Slopes of requests through real daemons on loopback: processor time per
+ * request and token, and memory per open stream.
  *
  * @module
  */
@@ -10,10 +10,10 @@
 import { DemoFleet } from "../../demo/fleet.ts";
 import type { EngineOptions } from "../../standin/engine_options.ts";
 import { buildDaemon } from "../../test/support/daemon_build.ts";
-import { runCpu, runMemory, type Way } from "../overhead/measures.ts";
+import { type CallPath, runCpu, runMemory } from "../overhead/measures.ts";
 import { buildOverheadExample } from "../overhead/overhead_records.ts";
 import {
-  buildVmWay,
+  buildVmPath,
   FAST_ENGINE,
   findOwner,
   SLOW_ENGINE,
@@ -24,15 +24,15 @@
 const STREAMS = 40;
 const ROUNDS = 5;
 const OPEN_STREAMS = [100, 200, 400, 800];
-const SETTLED_MS = 4_000;
+const SETTLE_MS = 4_000;
 const BYTES_PER_KILOBYTE = 1_024;
 
 interface Rig {
-  owner: Way;
-  other: Way;
+  owner: CallPath;
+  other: CallPath;
 }
 
-/** Measures the VM that owns the shard, and the other one. */
+/** Measures the VM that owns the shard and one that does not. */
 export async function collectStreamSlopes(): Promise<Slope[]> {
   const build = await buildDaemon();
   const parent = join(dirname(build.program), "../../..");
@@ -93,12 +93,12 @@
   });
   try {
     await fleet.start();
-    await sleep(SETTLED_MS);
+    await sleep(SETTLE_MS);
     const owner = await findOwner(fleet);
     const other = fleet.entryVms.find((vm) => vm !== owner)!;
     return await collect({
-      owner: buildVmWay("the owner", owner),
-      other: buildVmWay("another VM", other),
+      owner: buildVmPath("the owner", owner),
+      other: buildVmPath("another VM", other),
     });
   } finally {
     await fleet.stop();
--- a/bench/slopes/target.ts
+++ b/bench/slopes/target.ts
@@ -1,5 +1,5 @@
 /**
- * The size that the system has to carry, and what lies on one VM at it.
+ * The target size of the system, and the load of one VM at that size.
  *
  * @module
  */
@@ -13,12 +13,12 @@
 
 const SECONDS_PER_DAY = 86_400;
 const RENEW_EVERY_S = 1.5;
-/** Syncs beside renewals: the announcement, the first token, the return. */
+/** Syncs in addition to renewals: announcement, first token and return. */
 const OTHER_SYNCS = 3;
-/** Lists published for a VM that is replaced: leaving, gone, there again. */
+/** Lists published per replaced VM: leaving, removed and added again. */
 const LISTS_PER_REPLACEMENT = 3;
 
-/** The operators' target. */
+/** Target size, set by the operators. */
 export const TARGET = {
   vms: 380,
   replicas: 2_500,
@@ -32,7 +32,10 @@
   replacementsPerDay: 203,
 } as const;
 
-/** What control may take of one VM. */
+/**
+ * Limits of the control plane's cost per VM; `serviceCalls` is for the whole
+ * fleet.
+ */
 export const LIMITS = {
   processorMs: 24,
   bytes: 21_000,
@@ -40,24 +43,24 @@
   serviceCalls: 2_000,
 } as const;
 
-/** What one VM has to do with, on average and at most. */
+/** Load of one VM, on average and at most. */
 export interface Share {
   requests: number;
   tokens: number;
-  /** Streams open at one VM, when each is as slow as its target allows. */
+  /** Open streams, if each is as slow as its target allows. */
   streams: number;
-  /** Calls of one request that renew, announce and return its lease. */
+  /** Sync calls per request that announce, renew and return its lease. */
   syncs: number;
   shards: number;
   replicas: number;
-  /** Shards and replicas of the VM that owns most. */
+  /** Maximum number of shards and of replicas owned by one VM. */
   mostShards: number;
   mostReplicas: number;
   changesPerSecond: number;
   listsPerSecond: number;
 }
 
-/** Spreads the target over the VMs; owners are chosen as the VMs choose. */
+/** Distributes the target over the VMs, with owners as the VMs choose them. */
 export function computeShare(): Share {
   const requests = TARGET.requestsPerSecond / TARGET.vms;
   const tokens = TARGET.tokensPerSecond / TARGET.vms;
--- a/bench/support/answer_pipe.ts
+++ b/bench/support/answer_pipe.ts
@@ -1,5 +1,5 @@
 /**
- * The bytes of one upstream's answer on their way to a router.
+ * Carries the bytes of an upstream's answer to a router, in virtual time.
  *
  * @module
  */
@@ -13,19 +13,22 @@
 import type { Clock } from "../../src/process/clock.ts";
 import type { AnswerWriter } from "../../standin/engine_writer.ts";
 
-/** Tokens of so long travel in one piece, which saves work in long runs. */
+/**
+ * Tokens of this interval are delivered as one chunk, which speeds up long
+ * runs.
+ */
 const COALESCE_MS = 100;
 
-/** What a pipe is made with. */
+/** Options of a pipe. */
 export interface PipeOptions {
   clock: Clock;
   call: UpstreamCall;
   delayMs: number;
-  /** Called once when the router gives the answer up. */
+  /** Called once if the router abandons the answer or it times out. */
   onCancel: () => void;
 }
 
-/** Writer at the upstream's end, body at the router's. */
+/** A writer for the upstream and an answer body for the router. */
 export class AnswerPipe implements AnswerWriter {
   readonly answer: Promise<UpstreamAnswer>;
   readonly #options: PipeOptions;
@@ -137,7 +140,7 @@
   }
 }
 
-/** An error of the transport, as the real one throws it. */
+/** Creates an error as the HTTP transport throws it. */
 export function createUpstreamError(
   call: UpstreamCall,
   kind: UpstreamErrorKind,
--- a/bench/support/bench_clock.ts
+++ b/bench/support/bench_clock.ts
@@ -1,5 +1,5 @@
 /**
- * Virtual time in which every timer takes time.
+ * A virtual clock on which every timer takes some time.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 
 /**
- * Without it, a task that sleeps for the rest of a limit can find a rest below
- * the rounding of the time, or a rest of 0 before a limit that its own sum does
- * not show as passed. It would wake at the same time again and again, and a
- * run would never end.
+ * Smallest delay of a timer. Without it, a task that sleeps for the remainder
+ * of a limit can be left with a remainder of 0, or below the rounding of the
+ * clock, before its own sum exceeds the limit. It would then wake at the same
+ * time forever and the run would never end.
  */
-const LEAST_TIMER_MS = 1e-6;
+const MIN_TIMER_MS = 1e-6;
 
-/** A virtual clock on which no task can wait without getting older. */
+/** A virtual clock that advances with every timer. */
 export class BenchClock extends VirtualClock {
   static override create(): BenchClock {
     return new BenchClock();
   }
 
   override startTimer(ms: number, callback: () => void): CancelTimer {
-    return super.startTimer(Math.max(ms, LEAST_TIMER_MS), callback);
+    return super.startTimer(Math.max(ms, MIN_TIMER_MS), callback);
   }
 }
--- a/bench/support/bench_router.ts
+++ b/bench/support/bench_router.ts
@@ -1,5 +1,5 @@
 /**
- * A router under measurement, whatever is inside.
+ * The interface of a router under measurement.
  *
  * @module
  */
@@ -7,27 +7,33 @@
 import type { CallerRequest } from "../../src/request/caller_request.ts";
 import type { CallerSink } from "../../src/request/caller_sink.ts";
 
-/** A slot taken back while its request was running. */
+/** A preemption of a running request. */
 export interface Preemption {
   requestId: string;
   upstream: VmId;
   at: number;
 }
 
-/** Several entry VMs of one router. */
+/** The entry VMs of one router. */
 export abstract class BenchRouter {
-  /** VMs that callers can reach now. */
+  /** Lists the VMs that callers can currently reach. */
   abstract listVms(): VmId[];
-  /** Answers one request; never rejects. */
+  /** Serves one request; never rejects. */
   abstract handle(
     vm: VmId,
     request: CallerRequest,
     sink: CallerSink,
   ): Promise<void>;
-  /** Ends a VM's process at once; `undefined` picks the model pool's owner. */
+  /**
+   * Ends a VM's process at once and returns its id; `undefined` selects the
+   * model pool's owner.
+   */
   abstract destroyVm(vm: VmId | undefined): VmId;
   abstract listPreemptions(): readonly Preemption[];
-  /** Runs until the VMs know each other and their upstreams. */
+  /**
+   * Starts the VMs and waits until they have discovered each other and their
+   * upstreams.
+   */
   abstract start(): Promise<void>;
   abstract close(): Promise<void>;
 }
--- a/bench/support/bench_sink.ts
+++ b/bench/support/bench_sink.ts
@@ -1,23 +1,23 @@
 /**
- * A caller that keeps its answer with the times at which it came.
+ * A caller that records its answer with the time of each piece.
  *
  * @module
  */
 import { CallerSink } from "../../src/request/caller_sink.ts";
 import type { Clock } from "../../src/process/clock.ts";
 
-/** What a caller got. */
+/** The answer that a caller received. */
 export interface CallerView {
   status: number | undefined;
   headers: Record<string, string>;
   text: string;
-  /** Time of each piece that was written. */
+  /** Time of each write and the text length after it. */
   pieces: { at: number; end: number }[];
   end: "ended" | "destroyed" | "open";
   endedAt: number | undefined;
 }
 
-/** Collects one answer in memory. */
+/** Records one answer in memory. */
 export class BenchSink extends CallerSink {
   readonly view: CallerView = {
     status: undefined,
@@ -31,7 +31,7 @@
   readonly #abort = new AbortController();
   readonly #decoder = new TextDecoder();
   #onEnd: () => void = () => {};
-  /** Resolves when the answer is over, one way or the other. */
+  /** Resolves when the answer has ended or was destroyed. */
   readonly closed = new Promise<void>((resolve) => {
     this.#onEnd = resolve;
   });
@@ -53,7 +53,7 @@
     return this.view.status !== undefined;
   }
 
-  /** The caller goes away. */
+  /** Disconnects the caller. */
   cancel(): void {
     this.#abort.abort();
     this.#close("destroyed");
--- a/bench/support/caller_result.ts
+++ b/bench/support/caller_result.ts
@@ -1,5 +1,5 @@
 /**
- * What one request came to, as its caller sees it.
+ * Parses the result of a request as its caller sees it.
  *
  * @module
  */
@@ -11,34 +11,34 @@
 const DONE = "[DONE]";
 const OK = 200;
 
-/** One request's way through a router. */
+/** One request and the answer that its caller received. */
 export interface RequestTrace {
   request: BenchRequest;
-  /** The VM that the caller chose. */
+  /** Entry VM chosen by the caller. */
   vm: VmId;
   view: CallerView;
 }
 
-/** How a request ended for its caller. */
+/** End of a request as its caller sees it. */
 export type CallerEnd =
   | { kind: "whole" }
-  /** A whole answer with bytes that are not those of this request. */
+  /** A complete answer whose text is not the expected one. */
   | { kind: "wrong" }
   | { kind: "refused"; code: string; outcome: string }
-  /** Broken off, with or without a word. */
+  /** Ended before it was complete, without an error event. */
   | { kind: "cut" }
   | { kind: "open" };
 
-/** An answer read. */
+/** A parsed answer. */
 export interface CallerResult {
   end: CallerEnd;
-  /** Whether all that came belongs to this request's answer. */
+  /** Whether the received text is a prefix of this request's answer. */
   isOwnText: boolean;
-  /** Times at which tokens came, and how many. */
+  /** Number of tokens received at each time. */
   tokens: { at: number; count: number }[];
 }
 
-/** Reads what a caller got. */
+/** Parses the answer that a caller received. */
 export function parseCallerResult(trace: RequestTrace): CallerResult {
   const { request, view } = trace;
   if (view.end === "open") {
--- a/bench/support/example_records.ts
+++ b/bench/support/example_records.ts
@@ -1,5 +1,5 @@
 /**
- * A user's example records and list, with keys that the bench knows.
+ * Example records and membership list of a user, with the benchmark's API keys.
  *
  * @module
  */
@@ -15,27 +15,27 @@
 const EXAMPLES = new URL("../../examples/", import.meta.url);
 const VERSION = 1;
 
-/** Limits are widened so that the scheduler decides and not the limits. */
-const LIMIT_FACTOR = 100;
+/** Limits are raised, so that runs measure the scheduler and not the limits. */
+const LIMIT_MULTIPLIER = 100;
 
-/** Whose records a scenario runs with. */
+/** Users whose records a scenario can run with. */
 export const USERS = ["lectura_llana", "kontrola_sever"] as const;
 
 /** One of the two users. */
 export type User = typeof USERS[number];
 
-/** Records as published, and what they mean. */
+/** Published records, parsed and unparsed. */
 export interface ExampleRecords {
   user: User;
-  /** As published, for a configuration source. */
+  /** Unparsed records, for a configuration source. */
   records: unknown[];
   snapshot: Snapshot;
   list: MembershipList;
-  /** The list as published. */
+  /** The unparsed membership list. */
   rawList: { revision: number; vms: { id: string }[] };
 }
 
-/** The key of a workspace in a bench. */
+/** Returns the API key of a workspace in the benchmark. */
 export function getBenchKey(workspace: string): string {
   return `bench-key-of-${workspace}`;
 }
@@ -52,7 +52,7 @@
   });
   const result = buildSnapshot(VERSION, records);
   if (result.kind === "rejected") {
-    throw new Error(`The records of ${user} are not valid`);
+    throw new Error(`The example records of ${user} are invalid`);
   }
   const rawList = readJson(new URL("membership.json", root));
   return {
@@ -78,8 +78,8 @@
   if (record.kind !== "workspace") return record;
   const limits = record.limits ?? record as unknown as Record<string, number>;
   const wide = {
-    requests_per_minute: limits["requests_per_minute"]! * LIMIT_FACTOR,
-    tokens_per_minute: limits["tokens_per_minute"]! * LIMIT_FACTOR,
+    requests_per_minute: limits["requests_per_minute"]! * LIMIT_MULTIPLIER,
+    tokens_per_minute: limits["tokens_per_minute"]! * LIMIT_MULTIPLIER,
   };
   const keyHashes = [computeKeyHash(getBenchKey(record.name))];
   const changed = { ...record, key_hashes: keyHashes };
--- a/bench/support/fake_membership.ts
+++ b/bench/support/fake_membership.ts
@@ -1,5 +1,5 @@
 /**
- * A VM's view of the fleet that a bench or a test sets by hand.
+ * A membership view that a benchmark or test sets directly.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A membership whose beliefs change only when told to. */
+/** A membership whose list and member states change only by its setters. */
 export class FakeMembership extends MembershipView {
   #list: MembershipList;
   readonly #unreachable = new Set<VmId>();
--- a/bench/support/fleet_records.ts
+++ b/bench/support/fleet_records.ts
@@ -1,5 +1,5 @@
 /**
- * The records of an example, with a number that tells one version from another.
+ * Records of an example in distinguishable versions.
  *
  * @module
  */
@@ -11,7 +11,10 @@
   "../../examples/lectura_llana/groups",
 );
 
-/** The example's records; the policy's retry share tells the `variant`. */
+/**
+ * Builds the example's records; `variant` is encoded in the policy's retry
+ * share.
+ */
 export function buildExampleRecords(variant: number): unknown[] {
   const records = readdirSync(GROUPS).sort().flatMap(readGroup);
   return records.map((record) =>
--- a/bench/support/limit_fleet.ts
+++ b/bench/support/limit_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Several VMs' workspace limits in one process and in virtual time.
+ * Workspace limits of several VMs in one process and in virtual time.
  *
  * @module
  */
@@ -23,11 +23,11 @@
 import { VirtualNetwork } from "../../standin/virtual_network.ts";
 import { FakeMembership } from "./fake_membership.ts";
 
-/** How long the fleet takes to notice that a VM does not answer. */
-const DETECT_MS = 2_000;
+/** Time in which the fleet detects an unreachable VM. */
+const DETECTION_MS = 2_000;
 
-/** How long the published list takes to drop a lost VM. */
-const LIST_LAG_MS = 20_000;
+/** Time in which a lost VM is removed from the membership list. */
+const LIST_UPDATE_MS = 20_000;
 
 /** One admitted request. */
 export interface Admission {
@@ -37,7 +37,7 @@
   tokens: number;
 }
 
-/** What a fleet starts with. */
+/** Options of a fleet. */
 export interface LimitFleetOptions {
   seed: number;
   vms: number;
@@ -50,14 +50,14 @@
   membership: FakeMembership;
 }
 
-/** VMs that share nothing but a network. */
+/** VMs that are connected only by the network. */
 export class LimitFleet {
   readonly clock = VirtualClock.create();
   readonly network: VirtualNetwork;
   readonly admissions: Admission[] = [];
   refused = 0;
   readonly #vms = new Map<VmId, FleetVm>();
-  readonly #lost = new Set<VmId>();
+  readonly #destroyed = new Set<VmId>();
   #list: MembershipList;
 
   constructor(options: LimitFleetOptions) {
@@ -76,9 +76,9 @@
     return new LimitFleet(options);
   }
 
-  /** VMs that still run. */
+  /** Lists the VMs that have not been destroyed. */
   listVms(): VmId[] {
-    return [...this.#vms.keys()].filter((vm) => !this.#lost.has(vm));
+    return [...this.#vms.keys()].filter((vm) => !this.#destroyed.has(vm));
   }
 
   getLimits(vm: VmId): WorkspaceLimits {
@@ -91,7 +91,9 @@
       .findOwner(`limit:${workspace}`)!;
   }
 
-  /** Tries one request; resolves to the retry-after when it was refused. */
+  /**
+   * Requests admission; resolves with the retry-after time if it is refused.
+   */
   async admit(
     vm: VmId,
     workspace: WorkspaceName,
@@ -108,27 +110,30 @@
     }
   }
 
-  /** Sends one request from `vm` every `everyMs`; a paused VM sends none. */
+  /** Sends a request from `vm` every `everyMs`; a paused VM sends none. */
   async runLoad(
     vm: VmId,
     workspace: WorkspaceName,
     options: { everyMs: number; tokens: number; untilMs: number },
   ): Promise<void> {
     const clock = this.network.createClock(vm);
-    while (clock.now() < options.untilMs && !this.#lost.has(vm)) {
+    while (clock.now() < options.untilMs && !this.#destroyed.has(vm)) {
       void this.admit(vm, workspace, options.tokens);
       await clock.sleep(options.everyMs);
     }
   }
 
-  /** Ends a VM; the others notice after a while, the list much later. */
+  /**
+   * Destroys a VM. The others detect it after `DETECTION_MS`; the list drops it
+   * `LIST_UPDATE_MS` later.
+   */
   async destroyVm(vm: VmId): Promise<void> {
-    this.#lost.add(vm);
+    this.#destroyed.add(vm);
     this.network.removeVm(vm);
     this.getLimits(vm).close();
-    await this.clock.sleep(DETECT_MS);
-    this.#setBelief(this.listVms(), [vm], false);
-    await this.clock.sleep(LIST_LAG_MS);
+    await this.clock.sleep(DETECTION_MS);
+    this.#setReachable(this.listVms(), [vm], false);
+    await this.clock.sleep(LIST_UPDATE_MS);
     this.#list = {
       revision: this.#list.revision + 1,
       vms: this.#list.vms.filter(({ id }) => id !== vm),
@@ -138,45 +143,50 @@
     }
   }
 
-  /** Splits the fleet for `ms`; each side notices after a while. */
+  /**
+   * Partitions the fleet for `ms`; each side detects it after `DETECTION_MS`.
+   */
   async runPartition(
     left: readonly VmId[],
     right: readonly VmId[],
     ms: number,
   ): Promise<void> {
     this.network.cutBetween(left, right);
-    await this.clock.sleep(DETECT_MS);
-    this.#setBelief(left, right, false);
-    this.#setBelief(right, left, false);
-    await this.clock.sleep(ms - DETECT_MS);
+    await this.clock.sleep(DETECTION_MS);
+    this.#setReachable(left, right, false);
+    this.#setReachable(right, left, false);
+    await this.clock.sleep(ms - DETECTION_MS);
     this.network.heal();
-    this.#setBelief(left, right, true);
-    this.#setBelief(right, left, true);
+    this.#setReachable(left, right, true);
+    this.#setReachable(right, left, true);
   }
 
-  /** Pauses a VM for `ms`; on waking it believes what it believed before. */
+  /**
+   * Pauses a VM for `ms`; it resumes with its member states from before the
+   * pause.
+   */
   async runPause(vm: VmId, ms: number): Promise<void> {
     const others = this.listVms().filter((other) => other !== vm);
     this.network.pause(vm);
-    await this.clock.sleep(DETECT_MS);
-    this.#setBelief(others, [vm], false);
-    await this.clock.sleep(ms - DETECT_MS);
+    await this.clock.sleep(DETECTION_MS);
+    this.#setReachable(others, [vm], false);
+    await this.clock.sleep(ms - DETECTION_MS);
     this.network.resume(vm);
-    await this.clock.sleep(DETECT_MS);
-    this.#setBelief(others, [vm], true);
+    await this.clock.sleep(DETECTION_MS);
+    this.#setReachable(others, [vm], true);
   }
 
   close(): void {
     for (const { limits } of this.#vms.values()) limits.close();
   }
 
-  #setBelief(
-    believers: readonly VmId[],
+  #setReachable(
+    observers: readonly VmId[],
     vms: readonly VmId[],
     isReachable: boolean,
   ): void {
-    for (const believer of believers) {
-      this.#vms.get(believer)!.membership.setReachable(vms, isReachable);
+    for (const observer of observers) {
+      this.#vms.get(observer)!.membership.setReachable(vms, isReachable);
     }
   }
 
@@ -202,7 +212,7 @@
   }
 }
 
-/** A peer that answers about limits and nothing else. */
+/** Builds a peer that serves only limit calls. */
 function toLimitPeer(limits: WorkspaceLimits): PeerApi {
   const peer = {
     leaseLimit: (call: LimitCall): Promise<LimitAnswer> =>
@@ -244,7 +254,7 @@
   };
 }
 
-/** A workspace that has limits and nothing else of interest. */
+/** Builds a workspace with the given limits and defaults for the rest. */
 export function buildWorkspace(
   name: string,
   limits: Workspace["limits"],
--- a/bench/support/runtime_fleet.ts
+++ b/bench/support/runtime_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Our router on every entry VM, in one process and in virtual time.
+ * This project's router on every entry VM, in one process and in virtual time.
  *
  * @module
  */
@@ -31,13 +31,13 @@
 const WARM_UP_MS = 5_000;
 const DELAY_MS = 0.5;
 
-/** What a fleet is made with. */
+/** Options of a fleet. */
 export interface RuntimeFleetOptions {
   clock: VirtualClock;
   seed: number;
   examples: ExampleRecords;
   upstreams: VirtualUpstreams;
-  /** Decisions that differ from production. */
+  /** Scheduler features that differ from production. */
   features: Partial<SchedulerFeatures>;
 }
 
@@ -47,7 +47,7 @@
   sinks: Set<CallerSink>;
 }
 
-/** Runtimes that share nothing but a network and a configuration. */
+/** Runtimes connected only by the network and the configuration. */
 export class RuntimeFleet extends BenchRouter {
   readonly network: VirtualNetwork;
   readonly #options: RuntimeFleetOptions;
@@ -128,7 +128,7 @@
     self: ListedVm,
     { index, entries }: { index: number; entries: readonly ListedVm[] },
   ): void {
-    const { seed, examples, upstreams, features: decisions } = this.#options;
+    const { seed, examples, upstreams, features } = this.#options;
     const transport = upstreams.createTransport();
     const clock = this.network.createClock(self.id);
     const runtime = VmRuntime.create({
@@ -145,14 +145,14 @@
       self,
       source: FixedSource.create(clock, examples),
       seeds: entries.map(({ id }) => id),
-      features: decisions,
+      features,
     });
     this.#vms.set(self.id, { runtime, transport, sinks: new Set() });
     this.network.addVm(self.id, runtime.api);
   }
 }
 
-/** Drops every event but slots taken back from running requests. */
+/** Records preemptions of running requests; drops all other events. */
 class PreemptionLog extends Log {
   readonly #clock: Clock;
   readonly #preemptions: Preemption[];
@@ -169,7 +169,8 @@
 
   override write(_level: LogLevel, event: string, fields: LogFields): void {
     if (event !== "request_step" || fields["step"] !== "preempted") return;
-    // A lease that lapsed before the send has a detail; nobody took its slot.
+    // A lease that expired before the send has a detail; its slot was not
+    // preempted.
     if (fields["detail"] !== undefined) return;
     this.#preemptions.push({
       requestId: String(fields["request_id"]),
@@ -179,7 +180,7 @@
   }
 }
 
-/** One configuration and one list, which never change. */
+/** Serves one configuration and one membership list, which never change. */
 class FixedSource extends ConfigurationSource {
   readonly #clock: Clock;
   readonly #examples: ExampleRecords;
--- a/bench/support/virtual_service.ts
+++ b/bench/support/virtual_service.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service in virtual time: a bounded number of workers, and
- * connections that break before or after the work.
+ * A plain service in virtual time, with a bounded number of workers and
+ * injected connection losses before or after the work.
  *
  * @module
  */
@@ -11,12 +11,12 @@
 const WORKERS = 16;
 const MEAN_WORK_MS = 40;
 
-/** What became of one call. */
+/** Result of one call. */
 export type ServiceEnd =
   | { kind: "answer"; body: string }
   | { kind: "cut" };
 
-/** Shares of calls whose connection breaks. */
+/** Shares of calls whose connection is closed before or after the work. */
 export interface ServiceFaults {
   cutBefore: number;
   cutAfter: number;
@@ -44,12 +44,12 @@
     this.#faults = faults;
   }
 
-  /** How often each tagged call was carried out. */
+  /** Returns the number of executions of each call, by tag. */
   listExecutions(): ReadonlyMap<number, number> {
     return this.#executions;
   }
 
-  /** Carries out one call. */
+  /** Executes one call. */
   async runCall(path: string, body: string): Promise<ServiceEnd> {
     const draw = this.#random.next();
     const { cutBefore, cutAfter } = this.#faults;
@@ -79,7 +79,7 @@
   }
 }
 
-/** What the service answers to a tagged call. */
+/** Formats the service's answer to the call with `tag`. */
 export function formatServiceAnswer(tag: number): string {
   return JSON.stringify({ tag, done: true });
 }
--- a/bench/support/workload.ts
+++ b/bench/support/workload.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded requests of both users: classes mixed, heavy-tailed lengths, uneven
- * workspaces and bursts of one class.
+ * Generates seeded requests of both users: mixed classes, log-normal lengths,
+ * uneven workspaces and bursts of one class.
  *
  * @module
  */
@@ -22,46 +22,49 @@
 const CHARACTERS_PER_TOKEN = 4;
 const SHARED_PROMPT_TOKENS = 512;
 const FILLER = "El texto que sigue es parte del documento original. ";
-/** Above 1: large workspaces send more than their weight says. */
-const UNEVENNESS = 1.5;
+/**
+ * Exponent of the weights; above 1, large workspaces send more than their
+ * share.
+ */
+const WORKSPACE_SKEW = 1.5;
 
-/** How the requests of one class come and what they are like. */
+/** Arrival rate and lengths of the requests of one class. */
 export interface ClassProfile {
   className: ClassName;
-  /** Share of the engines' capacity, for a model class; 0 for others. */
+  /** Share of the load, for a model class; 0 for a service class. */
   loadShare: number;
-  /** Requests a second, for a service class. */
+  /** Requests per second, for a service class; 0 for a model class. */
   perSecond: number;
-  /** Median of the generated tokens. */
+  /** Median number of generated tokens. */
   medianTokens: number;
-  /** Spread of the logarithm of the length. */
+  /** Standard deviation of the logarithm of the lengths. */
   sigma: number;
   medianPromptTokens: number;
 }
 
-/** A class that asks for more for a while. */
+/** A temporarily higher load of one class. */
 export interface Burst {
   className: ClassName;
-  /** Times the whole capacity of the engines. */
+  /** Load relative to the capacity of all engines. */
   load: number;
   fromMs: number;
   toMs: number;
 }
 
-/** What to generate. */
+/** Options of a workload. */
 export interface WorkloadOptions {
   examples: ExampleRecords;
   engine: EngineOptions;
   random: Random;
   durationMs: number;
-  /** Load of the model classes together, over the engines' capacity. */
+  /** Total load of the model classes relative to the engines' capacity. */
   load: number;
   bursts: Burst[];
-  /** Replaces parts of the user's profile. */
+  /** Overrides of the user's profiles, by class name. */
   changes: Partial<Record<string, Partial<ClassProfile>>>;
 }
 
-/** One request with everything that the router must not know. */
+/** One request, with the details that are hidden from the router. */
 export interface BenchRequest {
   tag: number;
   at: number;
@@ -71,11 +74,11 @@
   pool: PoolName;
   kind: "model" | "service";
   idempotent: boolean;
-  /** Tokens that the whole answer has; 1 for a service. */
+  /** Number of tokens of the complete answer; 1 for a service. */
   tokens: number;
-  /** Prompt tokens that no other request shares. */
-  ownPromptTokens: number;
-  /** The text that the whole answer must have. */
+  /** Number of prompt tokens not shared with other requests. */
+  uniquePromptTokens: number;
+  /** Builds the expected text of the complete answer. */
   buildExpected: () => string;
   buildCall: (arrivedAt: number) => CallerRequest;
 }
@@ -97,13 +100,13 @@
   ],
 };
 
-/** The class that bursts, of the lowest model tier. */
+/** The class with bursts, of the lowest model tier. */
 export const BURST_CLASS: Record<User, ClassName> = {
   lectura_llana: toId("glossary"),
   kontrola_sever: toId("chat"),
 };
 
-/** Tokens a millisecond of the whole model pool with every batch full. */
+/** Tokens per millisecond of the whole model pool with full batches. */
 function computeCapacity(
   examples: ExampleRecords,
   engine: EngineOptions,
@@ -114,13 +117,16 @@
   return replicas.length / computeTokenMs(engine);
 }
 
-/** The least time of one replica that a token takes: its part of a full step. */
+/**
+ * Minimum time of a replica per token in milliseconds: its share of a step with
+ * a full batch.
+ */
 export function computeTokenMs(engine: EngineOptions): number {
   const { baseMs, perRunningMs, maxBatch } = engine;
   return (baseMs + perRunningMs * maxBatch) / maxBatch;
 }
 
-/** Generates requests in order of arrival; the same seed gives the same. */
+/** Generates requests in order of arrival; deterministic for a seed. */
 export function buildWorkload(options: WorkloadOptions): BenchRequest[] {
   const requests = PROFILES[options.examples.user].flatMap((base) => {
     const profile = { ...base, ...options.changes[base.className] };
@@ -140,10 +146,10 @@
   let at = 0;
   while (true) {
     const perMs = computeArrivalRate(profile, options, at);
-    // A rate of 0 is looked at again later, for a burst may begin.
+    // At a rate of 0, checks again after 100 ms, because a burst may start.
     const gapMs = perMs === 0 ? 100 : -Math.log(1 - random.next()) / perMs;
     const changeAt = findNextChange(options.bursts, at);
-    // Past a change of the rate the gap is drawn again from there.
+    // If the rate changes within the gap, draws the gap again from there.
     if (at + gapMs > changeAt) {
       at = changeAt;
       continue;
@@ -189,11 +195,16 @@
   const workspace = chooseWorkspace(examples, profile.className, random);
   const kind = profile.perSecond > 0 ? "service" as const : "model" as const;
   const pool = [...snapshot.pools.values()].find(({ type }) => type === kind)!;
-  const wanted = pickLogNormal(profile.medianTokens, profile.sigma, random);
-  const tokens = kind === "service"
-    ? 1
-    : Math.min(requestClass.maxOutputTokens, Math.max(1, Math.round(wanted)));
-  const ownPromptTokens = kind === "service" ? 0 : Math.round(
+  const drawnTokens = pickLogNormal(
+    profile.medianTokens,
+    profile.sigma,
+    random,
+  );
+  const tokens = kind === "service" ? 1 : Math.min(
+    requestClass.maxOutputTokens,
+    Math.max(1, Math.round(drawnTokens)),
+  );
+  const uniquePromptTokens = kind === "service" ? 0 : Math.round(
     pickLogNormal(profile.medianPromptTokens, profile.sigma, random),
   );
   const request: BenchRequest = {
@@ -206,10 +217,10 @@
     kind,
     idempotent: requestClass.idempotent,
     tokens,
-    ownPromptTokens,
+    uniquePromptTokens,
     buildExpected: () => "",
     buildCall: () => {
-      throw new Error("The call is not built yet");
+      throw new Error("buildCall was used before the request was complete");
     },
   };
   const details = {
@@ -285,15 +296,15 @@
   };
 }
 
-/** A part that the workspace's class shares, then a part of its own. */
+/** A prefix shared by the workspace and class, followed by a unique part. */
 function formatPrompt(request: BenchRequest): string {
-  const { workspace, className, ownPromptTokens, tag, tokens } = request;
+  const { workspace, className, uniquePromptTokens, tag, tokens } = request;
   const shared = formatText(
     `${workspace} ${className}. `,
     SHARED_PROMPT_TOKENS,
   );
-  const own = formatText(formatTag(tag), ownPromptTokens);
-  return `${shared}${own}[[tokens=${tokens}]]`;
+  const unique = formatText(formatTag(tag), uniquePromptTokens);
+  return `${shared}${unique}[[tokens=${tokens}]]`;
 }
 
 function formatText(start: string, tokens: number): string {
@@ -309,7 +320,7 @@
 ): Workspace {
   const workspaces = [...snapshot.workspaces.values()]
     .filter(({ classes }) => classes.includes(className));
-  const weights = workspaces.map(({ weight }) => weight ** UNEVENNESS);
+  const weights = workspaces.map(({ weight }) => weight ** WORKSPACE_SKEW);
   let left = random.next() * weights.reduce((sum, weight) => sum + weight, 0);
   const index = weights.findIndex((weight) => (left -= weight) < 0);
   return workspaces[Math.max(0, index)]!;
--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -1,5 +1,5 @@
 /**
- * Sends the planned requests as callers would, and notes what became of them.
+ * Sends the planned requests as callers would, and records their results.
  *
  * @module
  */
@@ -14,14 +14,14 @@
 } from "./outcomes.ts";
 import type { PlannedRequest } from "./workload.ts";
 
-const CONNECT_TRIES = 8;
-const FATE_WAIT_MS = 300;
+const MAX_CONNECT_ATTEMPTS = 8;
+const STATUS_DELAY_MS = 300;
 
-/** A request and what became of it. */
-export interface Account {
+/** A request and its result. */
+export interface RequestResult {
   request: PlannedRequest;
   requestId: string | undefined;
-  /** The port of the entry VM that it went to. */
+  /** Port of the entry VM that received it. */
   port: number;
   outcome: Outcome;
 }
@@ -31,16 +31,16 @@
   ttl_ms: number;
 }
 
-interface FateAnswer {
+interface RequestStatusAnswer {
   outcome?: string;
 }
 
-/** Callers that share one answer of `GET /v1/entries`. */
+/** Callers that share one answer to `GET /v1/entries`. */
 export class Callers {
-  readonly accounts: Account[] = [];
-  /** Tries on an address where nobody listens any more. */
+  readonly results: RequestResult[] = [];
+  /** Failed connections to VMs that no longer listen. */
   failedConnects = 0;
-  readonly #gonePorts = new Set<number>();
+  readonly #killedPorts = new Set<number>();
   #ports: number[] = [];
   #expiresAt = 0;
   #next = 0;
@@ -49,7 +49,7 @@
     return new Callers();
   }
 
-  /** Asks an entry VM which addresses to use; gives how many there are. */
+  /** Fetches the entry addresses from an entry VM; returns their number. */
   async fetchEntries(port: number): Promise<number> {
     const call = { port, method: "GET", path: "/v1/entries" };
     const answer = await fetchJson<EntriesAnswer>(call);
@@ -58,12 +58,17 @@
     return this.#ports.length;
   }
 
-  /** A VM that was killed: what it had in hand may be lost, and so told. */
-  noteGone(port: number): void {
-    this.#gonePorts.add(port);
+  /**
+   * Records that the VM at `port` was killed, so that its requests in flight
+   * may have an unknown outcome.
+   */
+  noteKilled(port: number): void {
+    this.#killedPorts.add(port);
   }
 
-  /** Sends every request at its time; resolves when all have come to an end. */
+  /**
+   * Sends every request at its scheduled time; resolves when all have ended.
+   */
   async run(requests: readonly PlannedRequest[]): Promise<void> {
     const startedAt = performance.now();
     const tasks: Promise<void>[] = [];
@@ -76,7 +81,7 @@
     await Promise.all(tasks);
   }
 
-  /** Keeps the old answer where no VM gives a new one. */
+  /** Refreshes the entry addresses; keeps the old ones if no VM answers. */
   async #renewEntries(): Promise<void> {
     for (const port of this.#ports) {
       try {
@@ -93,10 +98,10 @@
       await this.#runResubmitted(request);
       return;
     }
-    this.accounts.push(await this.#sendOnce(request, {}));
+    this.results.push(await this.#sendOnce(request, {}));
   }
 
-  /** Takes an id first, then sends the same request through two VMs. */
+  /** Obtains a request id, then sends the request under it through two VMs. */
   async #runResubmitted(request: PlannedRequest): Promise<void> {
     let id: string;
     try {
@@ -108,20 +113,22 @@
       });
       id = answer.request_id;
     } catch (thrown) {
-      const outcome = buildUnaccounted(`No request id: ${String(thrown)}`);
-      const account = { request, requestId: undefined, port: 0, outcome };
-      this.accounts.push(account);
+      const outcome = buildUnaccounted(
+        `Could not obtain a request id: ${String(thrown)}`,
+      );
+      const failure = { request, requestId: undefined, port: 0, outcome };
+      this.results.push(failure);
       return;
     }
     const headers = { "x-request-id": id };
-    this.accounts.push(await this.#sendOnce(request, headers));
-    this.accounts.push(await this.#sendOnce(request, headers));
+    this.results.push(await this.#sendOnce(request, headers));
+    this.results.push(await this.#sendOnce(request, headers));
   }
 
   async #sendOnce(
     request: PlannedRequest,
     headers: Record<string, string>,
-  ): Promise<Account> {
+  ): Promise<RequestResult> {
     const { result, port } = await this.#sendToAnyEntry(request, headers);
     const requestId = headers["x-request-id"] ?? getRequestId(result);
     const outcome = await match(result)
@@ -132,11 +139,12 @@
       .with({ kind: "left" }, (): Outcome => ({ kind: "cancelled" }))
       .with(
         { kind: "not_connected" },
-        () => buildUnaccounted("No entry VM could be connected to"),
+        () => buildUnaccounted("Could not connect to any entry VM"),
       )
       .with(
         { kind: "broken" },
-        ({ message }) => this.#findFate(request, { requestId, port, message }),
+        ({ message }) =>
+          this.#fetchOutcome(request, { requestId, port, message }),
       )
       .exhaustive();
     return { request, requestId, port, outcome };
@@ -158,26 +166,29 @@
           ...headers,
         },
         ...(request.body !== undefined && { body: request.body }),
-        ...(request.leaveAfterBytes !== undefined &&
-          { leaveAfterBytes: request.leaveAfterBytes }),
+        ...(request.abortAfterBytes !== undefined &&
+          { abortAfterBytes: request.abortAfterBytes }),
       });
-      const canGoOn = result.kind === "not_connected" && count < CONNECT_TRIES;
-      if (!canGoOn) return { result, port };
+      const canRetry = result.kind === "not_connected" &&
+        count < MAX_CONNECT_ATTEMPTS;
+      if (!canRetry) return { result, port };
       this.failedConnects++;
     }
   }
 
-  /** Asks another VM what became of a request whose connection broke. */
-  async #findFate(
+  /** Fetches the status of a request whose connection broke from another VM. */
+  async #fetchOutcome(
     request: PlannedRequest,
     broken: { requestId: string | undefined; port: number; message: string },
   ): Promise<Outcome> {
-    const isGone = this.#gonePorts.has(broken.port);
-    const unknown: Outcome = isGone
+    const isKilled = this.#killedPorts.has(broken.port);
+    const unknown: Outcome = isKilled
       ? { kind: "lost", outcome: "unknown" }
-      : buildUnaccounted(`Cut and no fate is told: ${broken.message}`);
+      : buildUnaccounted(
+        `Connection lost and request status unavailable: ${broken.message}`,
+      );
     if (broken.requestId === undefined) return unknown;
-    await sleep(FATE_WAIT_MS);
+    await sleep(STATUS_DELAY_MS);
     const result = await sendCall({
       port: this.#getPort(broken.port),
       method: "GET",
@@ -185,14 +196,16 @@
       headers: { authorization: `Bearer ${request.key}` },
     });
     if (result.kind !== "whole" || result.status !== 200) return unknown;
-    const fate = JSON.parse(result.body) as FateAnswer;
-    if (isRunOutcome(fate.outcome)) {
-      return { kind: "lost", outcome: fate.outcome };
+    const status = JSON.parse(result.body) as RequestStatusAnswer;
+    if (isRunOutcome(status.outcome)) {
+      return { kind: "lost", outcome: status.outcome };
     }
-    return buildUnaccounted(`Cut, though its fate is ${fate.outcome}`);
+    return buildUnaccounted(
+      `Connection lost, but the request status is ${status.outcome}`,
+    );
   }
 
-  /** Entry ports in turn. */
+  /** Returns the entry ports in turn, skipping `except`. */
   #getPort(except?: number): number {
     const port = this.#ports[this.#next++ % this.#ports.length]!;
     if (port !== except || this.#ports.length === 1) return port;
