--- a/demo/child_process_group.ts
+++ b/demo/child_process_group.ts
@@ -1,5 +1,5 @@
 /**
- * The demo's child processes: started, listened to and ended by their ids.
+ * Starts, watches and ends a group of child processes by their process ids.
  *
  * @module
  */
@@ -11,43 +11,43 @@
 const READ_LINE_TIMEOUT_MS = 15_000;
 const LOG_TAIL_LINES = 15;
 
-/** One child and where its output goes. */
+/** One child process and its log file. */
 export interface Child {
   name: string;
   pid: number;
   process: ChildProcess;
   logFile: string;
-  /** Resolves once the process is over. */
+  /** Resolves once the process has exited. */
   exited: Promise<void>;
 }
 
-/** What a child is started with. */
+/** Options of a child process. */
 export interface ChildOptions {
   name: string;
-  /** A compiled module and its arguments. */
+  /** Arguments of Node: a module and its own arguments. */
   args: string[];
-  /** Added to this process's own environment. */
+  /** Variables added to this process's environment. */
   environment?: Record<string, string>;
 }
 
-/** Every child that the demo starts. */
+/** The child processes that were started together. */
 export class ChildProcessGroup {
   readonly #directory: string;
   readonly #children: Child[] = [];
 
   constructor(directory: string) {
     this.#directory = directory;
-    // What goes wrong without it: a demo that throws leaves its children
-    // running and their ports taken.
+    // Without this, a process that ends by an error would leave its children
+    // running and their ports in use.
     process.once("exit", () => this.#destroyAll());
   }
 
-  /** Logs go to files in `directory`. */
+  /** Writes the children's logs to files in `directory`. */
   static create(directory: string): ChildProcessGroup {
     return new ChildProcessGroup(directory);
   }
 
-  /** Starts a child whose whole output goes to its log file. */
+  /** Starts a child and redirects all of its output to its log file. */
   start(options: ChildOptions): Child {
     const logFile = join(this.#directory, `${options.name}.log`);
     const log = openSync(logFile, "a");
@@ -59,7 +59,7 @@
     return this.#add(child, { name: options.name, logFile });
   }
 
-  /** Starts a child and gives the first line that it prints. */
+  /** Starts a child and returns the first line that it prints. */
   async startAndReadLine(options: ChildOptions): Promise<string> {
     const logFile = join(this.#directory, `${options.name}.log`);
     const log = openSync(logFile, "a");
@@ -75,15 +75,15 @@
     );
   }
 
-  /** Kills one child at once. */
+  /** Kills one child with SIGKILL. */
   async destroy(child: Child): Promise<void> {
     child.process.kill("SIGKILL");
     await child.exited;
   }
 
   /**
-   * Ends `children` by SIGTERM; names those that had to be killed after
-   * `timeoutMs`.
+   * Ends `children` with SIGTERM; returns the names of those that had to be
+   * killed after `timeoutMs`.
    */
   async stop(
     children: readonly Child[],
@@ -100,7 +100,7 @@
     return killed;
   }
 
-  /** Children that still run, by asking the system for their ids. */
+  /** Lists the children whose process still exists. */
   listAlive(): Child[] {
     return this.#children.filter((child) => isAlive(child));
   }
@@ -110,7 +110,7 @@
     options: { name: string; logFile: string },
   ): Child {
     if (child.pid === undefined) {
-      throw new Error(`Process ${options.name} could not be started`);
+      throw new Error(`Could not spawn process ${options.name}`);
     }
     const exited = new Promise<void>((resolve) => {
       child.once("exit", () => resolve());
@@ -125,13 +125,13 @@
   }
 }
 
-/** The last lines of a log file. */
+/** Returns the last lines of a log file. */
 export function readLogTail(logFile: string): string {
   return readFileSync(logFile, "utf8").trimEnd().split("\n")
     .slice(-LOG_TAIL_LINES).join("\n");
 }
 
-/** Whether a child has ended, by itself or by a signal. */
+/** Whether a child has exited or was killed by a signal. */
 export function hasEnded(child: Child): boolean {
   const { exitCode, signalCode } = child.process;
   return exitCode !== null || signalCode !== null;
--- a/demo/example_records.ts
+++ b/demo/example_records.ts
@@ -1,5 +1,5 @@
 /**
- * A user's records and membership list, read from `examples/`.
+ * Records and membership list of a user, read from `examples/`.
  *
  * @module
  */
@@ -7,8 +7,8 @@
 import { readFileSync } from "node:fs";
 import { join } from "node:path";
 
-/** A record as written; only what the demo looks at is named. */
-export interface WrittenRecord {
+/** A record as stored; declares only the members that the demo uses. */
+export interface ExampleRecord {
   kind: string;
   name: string;
   type?: string;
@@ -19,8 +19,8 @@
   targets?: { total_ms: number };
 }
 
-/** A VM as the membership list writes it. */
-export interface WrittenVm {
+/** A VM as stored in the membership list. */
+export interface ExampleVm {
   id: string;
   role: "entry" | "upstream";
   state: string;
@@ -31,14 +31,16 @@
   pool?: string;
 }
 
-/** One user's example, with keys that the demo knows. */
+/** One user's example, with the demo's API keys. */
 export interface Example {
   user: string;
-  groups: Record<string, WrittenRecord[]>;
-  vms: WrittenVm[];
+  groups: Record<string, ExampleRecord[]>;
+  vms: ExampleVm[];
 }
 
-/** Reads `examples/USER` and gives each workspace the demo's own key. */
+/**
+ * Reads `examples/USER` and replaces each workspace's API key by the demo's.
+ */
 export function readExample(root: string, user: string): Example {
   const directory = join(root, "examples", user);
   const index = readJson<{ groups: Record<string, number> }>(
@@ -47,27 +49,30 @@
   const groups: Example["groups"] = {};
   for (const [name, version] of Object.entries(index.groups)) {
     const file = join(directory, "groups", name, `${version}.json`);
-    const { records } = readJson<{ records: WrittenRecord[] }>(file);
+    const { records } = readJson<{ records: ExampleRecord[] }>(file);
     groups[name] = records.map(applyDemoKey);
   }
-  const list = readJson<{ vms: WrittenVm[] }>(
+  const list = readJson<{ vms: ExampleVm[] }>(
     join(directory, "membership.json"),
   );
   return { user, groups, vms: list.vms };
 }
 
-/** The key that callers of a workspace send in the demo. */
+/** Returns the API key of a workspace in the demo. */
 export function formatDemoKey(workspace: string): string {
   return `demo-key-${workspace}`;
 }
 
-/** Every record of a kind. */
-export function listRecords(example: Example, kind: string): WrittenRecord[] {
+/** Lists all records of a kind. */
+export function listRecords(example: Example, kind: string): ExampleRecord[] {
   return Object.values(example.groups).flat()
     .filter((record) => record.kind === kind);
 }
 
-/** From class name to the longest useful time of an answer. */
+/**
+ * Returns the target for the total time of an answer in milliseconds, by class
+ * name.
+ */
 export function listTotalTargets(example: Example): Map<string, number> {
   return new Map(
     listRecords(example, "request_class").map((record) => [
@@ -77,7 +82,7 @@
   );
 }
 
-function applyDemoKey(record: WrittenRecord): WrittenRecord {
+function applyDemoKey(record: ExampleRecord): ExampleRecord {
   if (record.kind !== "workspace") return record;
   const hash = createHash("sha256").update(formatDemoKey(record.name))
     .digest("hex");
--- a/demo/fleet.ts
+++ b/demo/fleet.ts
@@ -1,5 +1,5 @@
 /**
- * The demo's fleet: stand-ins and eight entry VMs, each a process.
+ * The demo's fleet: stand-ins and eight entry VMs, each in its own process.
  *
  * @module
  */
@@ -16,8 +16,8 @@
 } from "./child_process_group.ts";
 import {
   type Example,
+  type ExampleVm,
   listRecords,
-  type WrittenVm,
 } from "./example_records.ts";
 import { findFreePorts } from "./free_ports.ts";
 import { fetchJson, sendCall } from "./http_call.ts";
@@ -37,11 +37,11 @@
   child: Child;
 }
 
-/** Where the compiled programs and a place for files are. */
+/** Directories of the compiled programs and of the fleet's files. */
 export interface FleetOptions {
   root: string;
   directory: string;
-  /** Makes the engines other than the stand-in's default. */
+  /** Overrides the stand-in engine's default options. */
   engineOptions?: Partial<EngineOptions>;
 }
 
@@ -51,7 +51,7 @@
   operators: number;
 }
 
-/** Everything that runs for one user. */
+/** All processes of one user's demo. */
 export class DemoFleet {
   readonly entryVms: EntryVm[] = [];
   readonly enginePorts: number[] = [];
@@ -59,7 +59,7 @@
   readonly #example: Example;
   readonly #options: FleetOptions;
   readonly #children: ChildProcessGroup;
-  /** The peers' secret and the operators' token. */
+  /** The secret between peers, also used as the operators' token. */
   readonly secret = randomBytes(16).toString("hex");
 
   constructor(example: Example, options: FleetOptions) {
@@ -73,7 +73,7 @@
     return new DemoFleet(example, options);
   }
 
-  /** Starts everything; resolves once every entry VM is ready. */
+  /** Starts all processes; resolves once every entry VM is ready. */
   async start(): Promise<void> {
     const upstreams = await this.#startUpstreams();
     const [platformPort] = await this.#startStandIns("platform", 1);
@@ -99,28 +99,28 @@
     await Promise.all(this.entryVms.map(waitUntilReady));
   }
 
-  /** Kills one entry VM at once. */
+  /** Kills one entry VM with SIGKILL. */
   async destroy(vm: EntryVm): Promise<void> {
     await this.#children.destroy(vm.child);
   }
 
-  /** Ends everything; gives what went wrong in it. */
+  /** Stops all processes; returns the problems that occurred. */
   async stop(): Promise<string[]> {
-    // The VMs first: while they drain they still need what they stand on.
+    // The VMs first: while they drain they still need the stand-ins.
     const vms = this.entryVms.map((vm) => vm.child);
     const killed = await this.#children.stop(vms, STOP_TIMEOUT_MS);
     const rest = this.#children.listAlive();
     killed.push(...await this.#children.stop(rest, STOP_TIMEOUT_MS));
     const alive = this.#children.listAlive();
     return [
-      ...killed.map((name) => `${name} did not end by SIGTERM`),
-      ...alive.map((child) => `${child.name} still runs`),
+      ...killed.map((name) => `${name} did not exit on SIGTERM and was killed`),
+      ...alive.map((child) => `${child.name} is still running`),
     ];
   }
 
-  async #startUpstreams(): Promise<WrittenVm[]> {
+  async #startUpstreams(): Promise<ExampleVm[]> {
     const upstreams = this.#listVms("upstream");
-    const listed: WrittenVm[] = [];
+    const listed: ExampleVm[] = [];
     for (const pool of listRecords(this.#example, "upstream_pool")) {
       const members = upstreams.filter((vm) => vm.pool === pool.name);
       const kind = pool.type === "model" ? "engine" : "service";
@@ -129,8 +129,10 @@
         ...this.#options.engineOptions,
       };
       const ports = await this.#startStandIns(kind, members.length, options);
-      const known = kind === "engine" ? this.enginePorts : this.servicePorts;
-      known.push(...ports);
+      const poolPorts = kind === "engine"
+        ? this.enginePorts
+        : this.servicePorts;
+      poolPorts.push(...ports);
       listed.push(
         ...members.map((vm, index) => ({ ...vm, port: ports[index]! })),
       );
@@ -156,7 +158,7 @@
   }
 
   #startVm(
-    vm: WrittenVm,
+    vm: ExampleVm,
     options: { ports: VmPorts; platformPort: number },
   ): void {
     const file = join(this.#options.directory, `${vm.id}.json`);
@@ -178,7 +180,7 @@
   }
 
   #buildSettings(
-    vm: WrittenVm,
+    vm: ExampleVm,
     options: { ports: VmPorts; platformPort: number },
   ) {
     const { ports, platformPort } = options;
@@ -197,7 +199,7 @@
     };
   }
 
-  #listVms(role: WrittenVm["role"]): WrittenVm[] {
+  #listVms(role: ExampleVm["role"]): ExampleVm[] {
     return this.#example.vms.filter((vm) => vm.role === role);
   }
 }
@@ -212,8 +214,8 @@
 }
 
 async function waitUntilReady(vm: EntryVm): Promise<void> {
-  const tries = READY_TIMEOUT_MS / READY_POLL_MS;
-  for (let count = 0; count < tries; count++) {
+  const attempts = READY_TIMEOUT_MS / READY_POLL_MS;
+  for (let count = 0; count < attempts; count++) {
     if (hasEnded(vm.child)) break;
     const call = { port: vm.operatorPort, method: "GET", path: "/readyz" };
     const result = await sendCall(call);
@@ -221,5 +223,5 @@
     await sleep(READY_POLL_MS);
   }
   const tail = readLogTail(vm.child.logFile);
-  throw new Error(`${vm.id} is not ready; the end of its log:\n${tail}`);
+  throw new Error(`${vm.id} did not become ready; end of its log:\n${tail}`);
 }
--- a/demo/free_ports.ts
+++ b/demo/free_ports.ts
@@ -1,11 +1,11 @@
 /**
- * Ports that nobody listens on.
+ * Free ports on loopback.
  *
  * @module
  */
 import { type AddressInfo, createServer, type Server } from "node:net";
 
-/** Finds `count` free ports on loopback, all different. */
+/** Finds `count` distinct free ports on loopback. */
 export async function findFreePorts(count: number): Promise<number[]> {
   const servers: Server[] = [];
   for (let index = 0; index < count; index++) servers.push(await openServer());
--- a/demo/http_call.ts
+++ b/demo/http_call.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP call on a connection of its own.
+ * Single HTTP calls, each on a new connection.
  *
  * @module
  */
@@ -8,20 +8,20 @@
 
 const CALL_TIMEOUT_MS = 30_000;
 
-/** What to call. */
+/** Parameters of a call. */
 export interface HttpCall {
   port: number;
   method: string;
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** Goes away after so many bytes of the body. */
-  leaveAfterBytes?: number;
-  /** Goes away when it aborts. */
+  /** Disconnects after this number of bytes of the response body. */
+  abortAfterBytes?: number;
+  /** Disconnects when aborted. */
   signal?: AbortSignal;
 }
 
-/** How a call ended. Times count from when it was sent, in milliseconds. */
+/** Result of a call. Times are in milliseconds from sending. */
 export type HttpResult =
   | {
     kind: "whole";
@@ -30,13 +30,13 @@
     body: string;
     totalMs: number;
   }
-  /** The caller went away on purpose. */
+  /** The caller disconnected on purpose. */
   | { kind: "left"; headers: Record<string, string> }
-  /** No connection came about, so nothing was sent. */
+  /** The connection was refused, so nothing was sent. */
   | { kind: "not_connected" }
   | { kind: "broken"; headers: Record<string, string>; message: string };
 
-/** Makes the call; never rejects. */
+/** Sends a call; never rejects. */
 export function sendCall(call: HttpCall): Promise<HttpResult> {
   return new Promise((resolve) => {
     const startedAt = performance.now();
@@ -60,7 +60,7 @@
       ...(call.signal !== undefined && { signal: call.signal }),
     });
     request.on("error", onError);
-    request.on("timeout", () => request.destroy(new Error("Timeout")));
+    request.on("timeout", () => request.destroy(new Error("Socket timed out")));
     request.on("response", (response) => {
       headers = toHeaders(response);
       readAnswer(response, { call, startedAt, resolve, onError });
@@ -69,12 +69,12 @@
   });
 }
 
-/** Makes a call that must give a JSON answer of status 2xx. */
+/** Sends a call and parses the JSON answer; throws unless its status is 2xx. */
 export async function fetchJson<T>(call: HttpCall): Promise<T> {
   const result = await sendCall(call);
   if (result.kind !== "whole" || result.status >= 300) {
     const found = result.kind === "whole" ? result.status : result.kind;
-    throw new Error(`${call.method} ${call.path} gave ${found}`);
+    throw new Error(`${call.method} ${call.path} failed: ${found}`);
   }
   return JSON.parse(result.body) as T;
 }
@@ -94,8 +94,8 @@
   response.on("data", (part: Buffer) => {
     parts.push(part);
     size += part.length;
-    if (call.leaveAfterBytes === undefined) return;
-    if (size < call.leaveAfterBytes) return;
+    if (call.abortAfterBytes === undefined) return;
+    if (size < call.abortAfterBytes) return;
     resolve({ kind: "left", headers });
     response.destroy();
   });
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run demo`: a whole fleet on loopback under a short mixed load. It ends
- * with 0 only if every request is accounted for, no promise is broken and no
- * process is left.
+ * `npm run demo`: runs a whole fleet on loopback under a short mixed load.
+ * Exits with 0 only if every request is accounted for, no guarantee was
+ * violated and no process is left.
  *
  * @module
  */
@@ -17,8 +17,8 @@
 
 const ALL_USERS = "both";
 const DEFAULT_SECONDS = 8;
-const MOST_SECONDS = 300;
-const SHOWN_FAULTS = 20;
+const MAX_SECONDS = 300;
+const MAX_FAULTS = 20;
 // This file is dist/demo/main.js once compiled.
 const ROOT = fileURLToPath(new URL("../..", import.meta.url));
 
@@ -28,22 +28,22 @@
     .option("user", {
       choices: [...listUsers(), ALL_USERS],
       default: ALL_USERS,
-      describe: "Whose records and load",
+      describe: "User whose records and load are run",
     })
     .option("seconds", {
       type: "number",
       default: DEFAULT_SECONDS,
-      describe: "How long the load of each user lasts",
+      describe: "Duration of each user's load in seconds",
     })
     .option("kill", {
       type: "boolean",
       default: false,
-      describe: "Kill one entry VM halfway",
+      describe: "Kill one entry VM halfway through the load",
     })
     .option("keep", {
       type: "boolean",
       default: false,
-      describe: "Keep the settings and logs",
+      describe: "Keep the settings and logs after the run",
     })
     .strict()
     .parseAsync();
@@ -54,7 +54,7 @@
     faults.push(
       ...await runUserDemo({
         user,
-        seconds: Math.min(MOST_SECONDS, Math.max(1, args.seconds)),
+        seconds: Math.min(MAX_SECONDS, Math.max(1, args.seconds)),
         kill: args.kill,
         root: ROOT,
         directory: join(directory, user),
@@ -63,7 +63,7 @@
     );
     print("");
   }
-  for (const fault of faults.slice(0, SHOWN_FAULTS)) print(`FAULT ${fault}`);
+  for (const fault of faults.slice(0, MAX_FAULTS)) print(`FAULT ${fault}`);
   if (args.keep || faults.length > 0) {
     print(`Settings and logs are in ${directory}`);
   } else {
@@ -81,7 +81,7 @@
   process.stdout.write(`${text}\n`);
 }
 
-// Without this a Ctrl-C would not run the exit handlers that end the children.
+// Without this, Ctrl-C would not run the exit handlers that kill the children.
 process.once("SIGINT", () => process.exit(130));
 process.once("SIGTERM", () => process.exit(143));
 process.exitCode = await main();
--- a/demo/outcome_table.ts
+++ b/demo/outcome_table.ts
@@ -1,10 +1,10 @@
 /**
- * The demo's table: outcomes per request class.
+ * The demo's table of outcomes per request class.
  *
  * @module
  */
 import { match } from "ts-pattern";
-import type { Account } from "./callers.ts";
+import type { RequestResult } from "./callers.ts";
 
 const COLUMNS = [
   "sent",
@@ -23,19 +23,19 @@
 type Column = typeof COLUMNS[number];
 type Counts = Record<Column, number>;
 
-/** Counts the accounts and lays them out, a line a class and the total. */
+/** Renders the number of outcomes per class and in total. */
 export function renderOutcomes(
-  accounts: readonly Account[],
+  results: readonly RequestResult[],
   totalTargets: ReadonlyMap<string, number>,
 ): string {
   const rows = new Map<string, Counts>();
   const total = buildCounts();
-  for (const account of accounts) {
-    const { className } = account.request;
+  for (const result of results) {
+    const { className } = result.request;
     const row = rows.get(className) ?? buildCounts();
     rows.set(className, row);
     const target = totalTargets.get(className) ?? Infinity;
-    for (const column of listColumns(account, target)) {
+    for (const column of listColumns(result, target)) {
       row[column]++;
       total[column]++;
     }
@@ -44,10 +44,13 @@
   return formatRows(rows);
 }
 
-/** Refusals by class and code, the most frequent first; empty without any. */
-export function renderRefusals(accounts: readonly Account[]): string {
+/**
+ * Renders refusals by class and code, most frequent first; empty if there are
+ * none.
+ */
+export function renderRefusals(results: readonly RequestResult[]): string {
   const counts = new Map<string, number>();
-  for (const { request, outcome } of accounts) {
+  for (const { request, outcome } of results) {
     if (outcome.kind !== "refused") continue;
     const cause = `${request.className} ${outcome.code} (${outcome.outcome})`;
     counts.set(cause, (counts.get(cause) ?? 0) + 1);
@@ -58,9 +61,11 @@
     .join(", ");
 }
 
-/** Late answers count as answered too. */
-function listColumns(account: Account, targetMs: number): Column[] {
-  return match(account.outcome)
+/**
+ * Lists the columns that count a result; late answers also count as answered.
+ */
+function listColumns(result: RequestResult, targetMs: number): Column[] {
+  return match(result.outcome)
     .returnType<Column[]>()
     .with(
       { kind: "answered" },
--- a/demo/outcomes.ts
+++ b/demo/outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * What became of a request, as its caller sees it.
+ * Outcomes of requests as their callers see them.
  *
  * @module
  */
@@ -8,12 +8,14 @@
 import type { HttpResult } from "./http_call.ts";
 import type { Expectation } from "./workload.ts";
 
-/** One request's outcome; only `unaccounted` is a fault. */
+/** Outcome of one request; only `unaccounted` is a fault of the router. */
 export type Outcome =
   | { kind: "answered"; totalMs: number }
   | { kind: "refused"; outcome: RunOutcome; code: string }
   | { kind: "cancelled" }
-  /** The connection broke, and the router could not say more than unknown. */
+  /**
+   * The connection broke; the outcome is that of the request status, if any.
+   */
   | { kind: "lost"; outcome: RunOutcome }
   | { kind: "unaccounted"; why: string };
 
@@ -28,30 +30,30 @@
   choices: { delta: { content?: string } }[];
 }
 
-/** Judges an answer against what its caller expects. */
+/** Compares an answer with the expected one. */
 export function checkAnswer(
   result: HttpResult & { kind: "whole" },
   expected: Expectation,
 ): Outcome {
   if (result.status >= 400) return checkRefusal(result);
   if (result.headers["x-request-id"] === undefined) {
-    return buildUnaccounted("Answer without a request id");
+    return buildUnaccounted("The answer has no request id");
   }
   try {
     const fault = findFault(result, expected);
     if (fault !== undefined) return buildUnaccounted(fault);
   } catch {
-    return buildUnaccounted("Answer cannot be read");
+    return buildUnaccounted("The answer cannot be parsed");
   }
   return { kind: "answered", totalMs: result.totalMs };
 }
 
-/** An outcome that is a fault. */
+/** Builds an outcome that is a fault. */
 export function buildUnaccounted(why: string): Outcome {
   return { kind: "unaccounted", why };
 }
 
-/** Whether a text is one of the three outcomes. */
+/** Whether `text` is one of the run outcomes. */
 export function isRunOutcome(text: string | undefined): text is RunOutcome {
   return text !== undefined && RUN_OUTCOMES.includes(text);
 }
@@ -65,9 +67,11 @@
       return { kind: "refused", outcome, code };
     }
   } catch {
-    // Not JSON: told below.
+    // Not JSON: reported below.
   }
-  return buildUnaccounted(`Status ${result.status} without a typed refusal`);
+  return buildUnaccounted(
+    `Status ${result.status} without error code and outcome`,
+  );
 }
 
 function findFault(
@@ -83,7 +87,7 @@
     })
     .with({ kind: "streamed_chat" }, ({ text }) => {
       const events = listEvents(result.body);
-      if (events.at(-1) !== LAST_EVENT) return "Stream without its last event";
+      if (events.at(-1) !== LAST_EVENT) return "The stream lacks [DONE]";
       return compareText(collectTokens(events.slice(0, -1)), text);
     })
     .with(
@@ -96,7 +100,7 @@
         request_id: string;
       };
       if (answer.request_id !== result.headers["x-request-id"]) {
-        return "Answer of another request id";
+        return "The answer has another request id";
       }
       return compareText(answer.echo, echo);
     })
@@ -121,5 +125,5 @@
   expected: string,
 ): string | undefined {
   if (found === expected) return undefined;
-  return `Bytes differ from the expected answer: ${found?.slice(0, 60)}`;
+  return `The answer differs from the expected one: ${found?.slice(0, 60)}`;
 }
--- a/demo/user_demo.ts
+++ b/demo/user_demo.ts
@@ -1,29 +1,30 @@
 /**
- * The demo of one user: fleet up, load, table, fleet down.
+ * Runs the demo of one user: starts the fleet, sends the load, prints the
+ * results and stops the fleet.
  *
  * @module
  */
 import { setTimeout as sleep } from "node:timers/promises";
-import { type Account, Callers } from "./callers.ts";
+import { Callers, type RequestResult } from "./callers.ts";
 import { listTotalTargets, readExample } from "./example_records.ts";
 import { DemoFleet } from "./fleet.ts";
 import { renderOutcomes, renderRefusals } from "./outcome_table.ts";
-import { checkPromises } from "./promises.ts";
+import { checkGuarantees } from "./guarantees.ts";
 import { buildWorkload } from "./workload.ts";
 
-/** How a user's demo is run. */
+/** Options of a user's demo. */
 export interface UserDemoOptions {
   user: string;
   seconds: number;
   /** Whether an entry VM is killed halfway. */
   kill: boolean;
   root: string;
-  /** Where settings and logs go. */
+  /** Directory of settings and logs. */
   directory: string;
   print: (text: string) => void;
 }
 
-/** Runs the demo; gives what was wrong, which is nothing in a good run. */
+/** Runs the demo; returns the faults found, none in a good run. */
 export async function runUserDemo(options: UserDemoOptions): Promise<string[]> {
   const { print } = options;
   const example = readExample(options.root, options.user);
@@ -39,16 +40,16 @@
         `${fleet.servicePorts.length} service replicas ready in ${seconds} s`,
     );
     const callers = await runLoad(fleet, options);
-    faults.push(...listUnaccounted(callers.accounts));
-    print(renderOutcomes(callers.accounts, listTotalTargets(example)));
-    print(`refused: ${renderRefusals(callers.accounts) || "none"}`);
-    const report = await checkPromises(fleet, callers.accounts);
-    faults.push(...report.broken);
+    faults.push(...listUnaccounted(callers.results));
+    print(renderOutcomes(callers.results, listTotalTargets(example)));
+    print(`refused: ${renderRefusals(callers.results) || "none"}`);
+    const report = await checkGuarantees(fleet, callers.results);
+    faults.push(...report.violations);
     print(
       `tokens generated ${report.generatedTokens}, ` +
         `needed by whole answers ${report.neededTokens}; ` +
         `connections to a VM that was gone ${callers.failedConnects}; ` +
-        `promises broken ${report.broken.length}`,
+        `guarantees violated ${report.violations.length}`,
     );
   } catch (thrown) {
     faults.push(thrown instanceof Error ? thrown.message : String(thrown));
@@ -77,15 +78,15 @@
     await sleep(options.seconds * 500);
     const vm = fleet.entryVms.at(-1)!;
     options.print(`killing ${vm.id}`);
-    callers.noteGone(vm.port);
+    callers.noteKilled(vm.port);
     await fleet.destroy(vm);
   }
   await load;
   return callers;
 }
 
-function listUnaccounted(accounts: readonly Account[]): string[] {
-  return accounts.flatMap(({ request, requestId, outcome }) =>
+function listUnaccounted(results: readonly RequestResult[]): string[] {
+  return results.flatMap(({ request, requestId, outcome }) =>
     outcome.kind === "unaccounted"
       ? [`${request.className} ${requestId ?? "without id"}: ${outcome.why}`]
       : []
--- a/demo/workload.ts
+++ b/demo/workload.ts
@@ -1,5 +1,6 @@
 /**
- * The demo's load: which requests a user's callers send, and what they expect.
+ * The demo's load: the requests that a user's callers send and the answers that
+ * they expect.
  *
  * @module
  */
@@ -9,30 +10,30 @@
 import { buildLookupBody } from "../standin/service_core.ts";
 import {
   type Example,
+  type ExampleRecord,
   formatDemoKey,
   listRecords,
-  type WrittenRecord,
 } from "./example_records.ts";
 
 const SEED = 20_26;
-const LEAVE_AFTER_BYTES = 300;
+const ABORT_AFTER_BYTES = 300;
 
-/** What the callers of one class send. */
+/** Load of one request class. */
 interface ClassProfile {
   className: string;
-  /** Requests a second. */
+  /** Requests per second. */
   rate: number;
-  /** A chat, a look-up or a post that may not be repeated. */
+  /** A post must not be repeated; chats and look-ups may. */
   kind: "chat" | "lookup" | "post";
-  /** Characters of the prompt, for a chat. */
+  /** Length of a chat's prompt in characters. */
   promptLength?: number;
-  /** Tokens of the answer, for a chat. */
+  /** Length of a chat's answer in tokens. */
   tokens?: number;
-  /** Path at the service, for a post. */
+  /** Path of a post at the service. */
   path?: string;
 }
 
-/** Each user's classes, by the name of its example. */
+/** The classes of each user, by the name of its example. */
 const PROFILES: Record<string, readonly ClassProfile[]> = {
   lectura_llana: [
     {
@@ -79,20 +80,20 @@
   ],
 };
 
-/** What a whole answer must hold. */
+/** Expected content of a complete answer. */
 export type Expectation =
   | { kind: "whole_chat"; text: string }
   | { kind: "streamed_chat"; text: string; tokens: number }
   | { kind: "lookup"; body: string }
   | { kind: "post"; echo: string };
 
-/** What a caller does besides sending its request. */
+/** How a caller behaves beyond sending its request. */
 export type Behaviour = "plain" | "resubmits" | "leaves";
 
-/** One request to send. */
+/** One scheduled request. */
 export interface PlannedRequest {
   number: number;
-  /** When to send it, counted from the load's start. */
+  /** Time to send it, relative to the start of the load. */
   atMs: number;
   className: string;
   key: string;
@@ -101,15 +102,15 @@
   body: string | undefined;
   expected: Expectation;
   behaviour: Behaviour;
-  leaveAfterBytes: number | undefined;
+  abortAfterBytes: number | undefined;
 }
 
-/** Names of the users that have a load. */
+/** Lists the users that have a load. */
 export function listUsers(): string[] {
   return Object.keys(PROFILES);
 }
 
-/** Plans `seconds` of load; the same example gives the same plan. */
+/** Builds the requests of `seconds` of load; deterministic for an example. */
 export function buildWorkload(
   example: Example,
   seconds: number,
@@ -132,7 +133,7 @@
   return requests;
 }
 
-/** Builds requests with numbers of their own. */
+/** Builds requests and numbers them. */
 class RequestBuilder {
   readonly #example: Example;
   readonly #random: SeededRandom;
@@ -164,7 +165,7 @@
       className: profile.className,
       key: formatDemoKey(this.#pickWorkspace(profile.className).name),
       behaviour: "plain" as const,
-      leaveAfterBytes: undefined,
+      abortAfterBytes: undefined,
     };
     if (profile.kind === "chat") {
       return { ...frame, ...this.#buildChat(profile, options.isStreamed) };
@@ -196,7 +197,7 @@
     const marker = `[[tokens=${tokens}]] ${this.#number} `;
     const filler = "Vážená señora, el trámite. ";
     const length = profile.promptLength ?? 0;
-    // The long part comes first, so that requests share a prefix.
+    // The filler comes first, so that requests share a prefix.
     const long = filler.repeat(Math.ceil(length / filler.length));
     const messages = [{ role: "user", content: long + marker }];
     const maxTokens = 2 * tokens;
@@ -217,24 +218,24 @@
     return { method: "POST", path: "/v1/chat/completions", body, expected };
   }
 
-  #pickWorkspace(className: string): WrittenRecord {
+  #pickWorkspace(className: string): ExampleRecord {
     const workspaces = listRecords(this.#example, "workspace")
       .filter((workspace) => workspace.classes?.includes(className));
     const workspace = this.#random.pick(workspaces);
     if (workspace !== undefined) return workspace;
-    throw new Error(`No workspace may ask for class ${className}`);
+    throw new Error(`No workspace may use class ${className}`);
   }
 }
 
-/** Gives a behaviour to the first request of a kind past the start. */
+/** Sets the behaviour of one request of a kind, past the first quarter. */
 function setBehaviour(
   requests: PlannedRequest[],
   options: { kind: Expectation["kind"]; behaviour: Behaviour },
 ): void {
-  const half = Math.floor(requests.length / 4);
-  const found = requests.slice(half)
+  const firstIndex = Math.floor(requests.length / 4);
+  const found = requests.slice(firstIndex)
     .find((request) => request.expected.kind === options.kind);
   if (found === undefined) return;
   found.behaviour = options.behaviour;
-  if (options.behaviour === "leaves") found.leaveAfterBytes = LEAVE_AFTER_BYTES;
+  if (options.behaviour === "leaves") found.abortAfterBytes = ABORT_AFTER_BYTES;
 }
--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -1,6 +1,6 @@
 /**
- * Bundles the platform's daemon into one file: a process that starts from many
- * files spends most of its start on reading and resolving them.
+ * Bundles the platform's daemon into one file, because a process that is loaded
+ * from many files spends most of its startup reading and resolving them.
  *
  * @module
  */
@@ -14,7 +14,7 @@
   target: "node20",
   format: "esm",
   minify: true,
-  // CommonJS packages within the bundle call `require`.
+  // CommonJS packages in the bundle call `require`.
   banner: {
     js: 'import { createRequire } from "node:module";' +
       "const require = createRequire(import.meta.url);",
--- a/lint/verb_list.ts
+++ b/lint/verb_list.ts
@@ -1,6 +1,6 @@
 /**
- * The verbs that names of functions and methods begin with. docs/VERBS.md says
- * what each is for; a test keeps the two alike.
+ * The verbs with which the names of functions and methods begin. docs/VERBS.md
+ * defines each of them; a test checks that both lists are equal.
  *
  * @module
  */
@@ -99,8 +99,8 @@
 ];
 
 /**
- * Names that stay as the language or the field has them: a clock's `now`, a
- * generator's `next`, and the like.
+ * Names that are exempt because they are conventional, such as a clock's `now`
+ * or a generator's `next`.
  */
 export const ALLOWED_NAMES: readonly string[] = [
   "main",
--- a/lint/verbs.js
+++ b/lint/verbs.js
@@ -1,7 +1,7 @@
 /**
- * A `deno lint` plugin: functions at the top of a module and methods begin with
- * a verb of lint/verb_list.ts. Constructors, accessors and methods marked
- * `override` are free: their names are set elsewhere.
+ * A `deno lint` plugin: the names of top-level functions and of methods must
+ * begin with a verb of lint/verb_list.ts. Constructors, accessors and methods
+ * marked `override` are exempt, because their names are defined elsewhere.
  *
  * @module
  */
@@ -34,7 +34,7 @@
   return parent === "Program" || parent === "ExportNamedDeclaration";
 }
 
-// Deno takes a plugin from a module's default export and nothing else.
+// Deno loads a plugin only from the default export of its module.
 export default {
   name: "persimmonslip",
   rules: {
--- a/standin/engine_answer.ts
+++ b/standin/engine_answer.ts
@@ -1,18 +1,19 @@
 /**
- * What a stand-in engine answers: a pure function of prompt, model and index,
- * so that a resumed answer is byte-exact and a mixed-up one is noticed.
+ * Text of a stand-in engine's answers: a pure function of prompt, model and
+ * token index. Tests can thus check a resumed answer byte by byte and detect
+ * an answer that belongs to another request.
  *
  * @module
  */
 
 const CHARACTERS_PER_TOKEN = 4;
 const LENGTH_MARKER = /\[\[tokens=(\d{1,6})\]\]/;
-const LEAST_HASHED_LENGTH = 16;
-const HASHED_LENGTHS = 113;
+const MIN_DERIVED_TOKENS = 16;
+const DERIVED_TOKENS_RANGE = 113;
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-// Letters of several bytes, so that a cut inside a character is noticed.
+// Has multi-byte characters, so that a cut within a character is detected.
 const WORDS = [
   "la",
   "oficina",
@@ -48,25 +49,25 @@
   "hodina",
 ] as const;
 
-/** What decides an answer. */
+/** Inputs that determine an answer. */
 export interface AnswerInput {
   prompt: string;
   model: string;
-  /** A cap on the whole answer, resumed tokens included. */
+  /** Limit on the whole answer, including resumed tokens. */
   maxTokens: number;
 }
 
-/** The whole answer to one prompt, token by token. */
+/** The complete answer to one prompt, as tokens. */
 export class EngineAnswer {
-  /** Tokens in the whole answer. */
+  /** Number of tokens in the complete answer. */
   readonly length: number;
   readonly finishReason: "stop" | "length";
   readonly #seed: number;
 
   constructor(input: AnswerInput) {
-    const wanted = computeAnswerLength(input.prompt);
-    this.length = Math.max(1, Math.min(wanted, input.maxTokens));
-    this.finishReason = this.length < wanted ? "length" : "stop";
+    const uncappedLength = computeAnswerLength(input.prompt);
+    this.length = Math.max(1, Math.min(uncappedLength, input.maxTokens));
+    this.finishReason = this.length < uncappedLength ? "length" : "stop";
     this.#seed = computeHash(`${input.model}\n${input.prompt}`);
   }
 
@@ -74,14 +75,14 @@
     return new EngineAnswer(input);
   }
 
-  /** The token at `index`, which counts from 0. */
+  /** Returns the token at the 0-based `index`. */
   getToken(index: number): string {
     if (index === 0) return this.#seed.toString(16).padStart(8, "0");
     const mixed = computeMix(this.#seed ^ Math.imul(index, 0x9e3779b1));
     return ` ${WORDS[mixed % WORDS.length]}`;
   }
 
-  /** The text of the tokens from `start` up to, not including, `end`. */
+  /** Returns the text of the tokens from `start` to `end`, excluding `end`. */
   getText(start = 0, end = this.length): string {
     let text = "";
     for (let index = start; index < end; index++) text += this.getToken(index);
@@ -89,14 +90,17 @@
   }
 }
 
-/** Tokens of the answer without a cap: `[[tokens=N]]` in the prompt, or a hash. */
+/**
+ * Length before `maxTokens`: from `[[tokens=N]]` in the prompt, else from a
+ * hash.
+ */
 function computeAnswerLength(prompt: string): number {
-  const marked = LENGTH_MARKER.exec(prompt)?.[1];
-  if (marked !== undefined) return Math.max(1, Number(marked));
-  return LEAST_HASHED_LENGTH + computeHash(prompt) % HASHED_LENGTHS;
+  const markedLength = LENGTH_MARKER.exec(prompt)?.[1];
+  if (markedLength !== undefined) return Math.max(1, Number(markedLength));
+  return MIN_DERIVED_TOKENS + computeHash(prompt) % DERIVED_TOKENS_RANGE;
 }
 
-/** Tokens that a text counts for. */
+/** Estimates the number of tokens in `text`. */
 export function countTextTokens(text: string): number {
   return Math.ceil(text.length / CHARACTERS_PER_TOKEN);
 }
--- a/standin/engine_batch.ts
+++ b/standin/engine_batch.ts
@@ -1,6 +1,7 @@
 /**
- * A stand-in engine's continuous batch: steps that give each running request
- * one token, a queue by priority before it, memory that bounds it.
+ * Continuous batching of a stand-in engine: each step generates one token for
+ * every running request. Waiting requests are queued by priority, and the batch
+ * is limited by its size and by memory.
  *
  * @module
  */
@@ -10,7 +11,7 @@
 import type { EngineOptions } from "./engine_options.ts";
 import type { EngineRun } from "./engine_run.ts";
 
-/** What a batch works with. */
+/** Dependencies of a batch. */
 export interface BatchParts {
   clock: Clock;
   options: EngineOptions;
@@ -22,7 +23,7 @@
   onStep: () => void;
 }
 
-/** Runs that wait and runs that generate. */
+/** The waiting and the running requests of an engine. */
 export class EngineBatch {
   readonly #parts: BatchParts;
   #waiting: EngineRun[] = [];
@@ -46,14 +47,14 @@
     return this.#waiting.length;
   }
 
-  /** Tokens that the running requests hold in memory. */
+  /** Number of tokens that the running requests keep in memory. */
   get memoryTokens(): number {
     return this.#running.reduce((sum, run) => sum + run.memoryTokens, 0);
   }
 
-  /** Lets a run wait for its place; it may start at once. */
+  /** Queues a run; it may start at once. */
   add(run: EngineRun): void {
-    this.#putInQueue(run);
+    this.#addToQueue(run);
     this.#startStep();
   }
 
@@ -62,12 +63,12 @@
     this.#running = this.#running.filter((other) => other !== run);
   }
 
-  /** Every run, running ones first. */
+  /** Lists all runs, running ones first. */
   list(): EngineRun[] {
     return [...this.#running, ...this.#waiting];
   }
 
-  /** Empties the batch and ends its step and its stall. */
+  /** Removes all runs and cancels the current step and stall. */
   clear(): void {
     this.#stopStep?.();
     this.#stopStep = undefined;
@@ -76,7 +77,7 @@
     this.#waiting = [];
   }
 
-  /** Does no work for `ms`, which may be `Infinity`. */
+  /** Stops all work for `ms`, which may be `Infinity`. */
   setStall(ms: number): void {
     this.#stalledUntil = this.#parts.clock.now() + ms;
     this.#stopStep?.();
@@ -84,7 +85,7 @@
     this.#startStep();
   }
 
-  #putInQueue(run: EngineRun): void {
+  #addToQueue(run: EngineRun): void {
     const later = this.#waiting.findIndex((other) => isBefore(run, other));
     const place = later < 0 ? this.#waiting.length : later;
     this.#waiting.splice(place, 0, run);
@@ -119,11 +120,11 @@
       this.#waiting.shift();
       this.#running.push(run);
       memory += run.memoryTokens;
-      this.#findCached(run);
+      this.#applyCachedPrefix(run);
     }
   }
 
-  #findCached(run: EngineRun): void {
+  #applyCachedPrefix(run: EngineRun): void {
     const { cache, counts, options } = this.#parts;
     const leading = cache.takeLeading(run.request.prefixes);
     const cached = Math.min(
@@ -135,33 +136,35 @@
     run.prefillLeft = run.memoryTokens - cached;
   }
 
-  /** Works on prompts for one step; gives how long the step takes. */
+  /**
+   * Does the prefill of one step; returns the step's duration in milliseconds.
+   */
   #runPrefill(): number {
     const { counts, options } = this.#parts;
     let budget = options.prefillTokensPerStep;
-    let worked = 0;
+    let prefilled = 0;
     for (const run of this.#running) {
       const tokens = Math.min(run.prefillLeft, budget);
       run.prefillLeft -= tokens;
       budget -= tokens;
-      worked += tokens;
+      prefilled += tokens;
     }
-    counts.prefillTokens += worked;
+    counts.prefillTokens += prefilled;
     return options.speedFactor * (
       options.baseMs +
       options.perRunningMs * this.#running.length +
-      options.prefillMsPerToken * worked
+      options.prefillMsPerToken * prefilled
     );
   }
 
   #endStep(): void {
     this.#stopStep = undefined;
     for (const run of [...this.#running]) {
-      // A listener or a crash may have ended it within this step.
+      // A listener or a crash may have ended the run during this step.
       const hasEnded = run.record.end !== undefined;
       if (!hasEnded && run.prefillLeft === 0) this.#addToken(run);
     }
-    this.#putBackOverflow();
+    this.#preemptOverflow();
     this.#startStep();
     this.#parts.onStep();
   }
@@ -183,8 +186,11 @@
     }
   }
 
-  /** Puts the last of the batch back while the batch outgrows the memory. */
-  #putBackOverflow(): void {
+  /**
+   * While the batch exceeds the memory, returns its last run in priority order
+   * to the queue.
+   */
+  #preemptOverflow(): void {
     const { counts, options } = this.#parts;
     while (
       this.memoryTokens > options.memoryTokens && this.#running.length > 1
@@ -194,12 +200,12 @@
       );
       this.remove(run);
       counts.putBack++;
-      this.#putInQueue(run);
+      this.#addToQueue(run);
     }
   }
 }
 
 function isBefore(left: EngineRun, right: EngineRun): boolean {
   const difference = left.request.priority - right.request.priority;
-  return difference < 0 || (difference === 0 && left.order < right.order);
+  return difference < 0 || (difference === 0 && left.sequence < right.sequence);
 }
--- a/standin/engine_body.ts
+++ b/standin/engine_body.ts
@@ -1,5 +1,5 @@
 /**
- * From an OpenAI-shaped call to a stand-in engine's request.
+ * Converts a call in the OpenAI format to a stand-in engine's request.
  *
  * @module
  */
@@ -9,24 +9,24 @@
 const DEFAULT_MAX_TOKENS = 4096;
 const DEFAULT_PRIORITY = 100;
 
-/** One call to an engine, whatever carries the bytes. */
+/** One call to an engine, independent of the transport. */
 export interface EngineCall {
   method: string;
   /** Path and query. */
   path: string;
-  /** Names in lower case. */
+  /** Header names are in lower case. */
   headers: Record<string, string>;
   body: Uint8Array;
 }
 
-/** The shape that the answer takes. */
+/** Format of the answer. */
 export interface AnswerShape {
   isChat: boolean;
   isStreamed: boolean;
   includeUsage: boolean;
 }
 
-/** A completion, checked. */
+/** A validated completion call. */
 export interface CompletionCall {
   request: EngineRequest;
   shape: AnswerShape;
@@ -56,7 +56,7 @@
 
 type Message = z.infer<typeof CHAT_BODY>["messages"][number];
 
-/** Reads a completion; throws where the call is malformed. */
+/** Parses a completion call; throws if it is malformed. */
 export function parseCompletionCall(call: EngineCall): CompletionCall {
   const isChat = call.path.startsWith("/v1/chat/");
   const json: unknown = JSON.parse(new TextDecoder().decode(call.body));
@@ -85,7 +85,7 @@
   return { request, shape };
 }
 
-/** The prompt that an engine makes of a chat; the answer depends on it. */
+/** Formats a chat as the engine's prompt, on which the answer depends. */
 export function formatChatPrompt(messages: readonly Message[]): string {
   return messages
     .map((message) => `${message.role}: ${formatContent(message.content)}`)
@@ -101,5 +101,5 @@
   if (text === undefined || text === "") return fallback;
   const value = Number(text);
   if (Number.isFinite(value)) return value;
-  throw new Error(`A number was expected, not ${JSON.stringify(text)}`);
+  throw new Error(`Expected a number, got ${JSON.stringify(text)}`);
 }
--- a/standin/engine_cache.ts
+++ b/standin/engine_cache.ts
@@ -1,5 +1,6 @@
 /**
- * A stand-in engine's prefix cache and its late, gappy events.
+ * Prefix cache of a stand-in engine, with cache events that are delayed and
+ * partly lost.
  *
  * @module
  */
@@ -8,14 +9,14 @@
 import type { Random } from "../src/process/random.ts";
 import type { EngineOptions } from "./engine_options.ts";
 
-const KEPT_EVENTS = 10_000;
+const MAX_EVENTS = 10_000;
 
 interface DatedEvent {
   at: number;
   event: CacheEvent;
 }
 
-/** Prefixes by hash, the least recently used first. */
+/** LRU cache of prefix hashes. */
 export class EngineCache {
   readonly #clock: Clock;
   readonly #random: Random;
@@ -38,7 +39,7 @@
     return new EngineCache(clock, random, options);
   }
 
-  /** Sequence of the latest event, published or not. */
+  /** Sequence number of the latest event, published or not. */
   get sequence(): number {
     return this.#sequence;
   }
@@ -51,7 +52,7 @@
     return this.#prefixes.has(prefix);
   }
 
-  /** How many of `prefixes`, from the first on, are cached; uses them. */
+  /** Counts the leading `prefixes` that are cached and marks them as used. */
   takeLeading(prefixes: readonly string[]): number {
     let count = 0;
     for (const prefix of prefixes) {
@@ -62,7 +63,9 @@
     return count;
   }
 
-  /** Stores `prefixes` and evicts what no longer fits. */
+  /**
+   * Stores `prefixes` and evicts the least recently used beyond the capacity.
+   */
   put(prefixes: readonly string[]): void {
     for (const prefix of prefixes) {
       if (!this.#prefixes.delete(prefix)) this.#note(prefix, "stored");
@@ -75,13 +78,13 @@
     }
   }
 
-  /** Forgets everything, as after a restart; sequences go on. */
+  /** Clears the cache as a restart does; sequence numbers continue. */
   clear(): void {
     this.#prefixes.clear();
     this.#events.length = 0;
   }
 
-  /** Events above `after` that are old enough to be published. */
+  /** Lists the published events with a sequence number above `after`. */
   listEvents(after: number): CacheEvent[] {
     const latest = this.#clock.now() - this.#options.cacheEventDelayMs;
     return this.#events
@@ -94,8 +97,8 @@
     if (this.#random.next() < this.#options.cacheEventGapShare) return;
     const event = { sequence: this.#sequence, prefix, change };
     this.#events.push({ at: this.#clock.now(), event });
-    if (this.#events.length > 2 * KEPT_EVENTS) {
-      this.#events.splice(0, KEPT_EVENTS);
+    if (this.#events.length > 2 * MAX_EVENTS) {
+      this.#events.splice(0, MAX_EVENTS);
     }
   }
 }
--- a/standin/engine_calls.ts
+++ b/standin/engine_calls.ts
@@ -1,6 +1,7 @@
 /**
- * The engine's calls of docs/PLATFORM.md on an `EngineCore`, whatever carries
- * the bytes: the HTTP stand-in and fakes in one process both serve with it.
+ * Serves the engine calls of docs/PLATFORM.md from an `EngineCore`,
+ * independently of the transport: used by the HTTP stand-in and by in-process
+ * fakes.
  *
  * @module
  */
@@ -21,12 +22,12 @@
   writeJson,
 } from "./engine_writer.ts";
 
-/** Ends the work of a call; harmless once it is over. */
+/** Cancels a call; does nothing once the call has ended. */
 export type CancelCall = () => void;
 
 const MAX_TIMER_MS = 2 ** 31 - 1;
 
-const ORDER_BODY = z.object({
+const COMMAND_BODY = z.object({
   action: z.enum(["load", "unload", "role"]),
   model: z.string().default(""),
   version: z.string().default(""),
@@ -38,7 +39,7 @@
 const CONTROL_BODY = z.object({
   crash_after_tokens: z.number().optional(),
   start_again: z.boolean().optional(),
-  // A longer timer would fire at once.
+  // Node fires a longer timer at once.
   stall_ms: z.number().max(MAX_TIMER_MS).optional(),
   drop_listeners: z.boolean().optional(),
   silent_next: z.number().optional(),
@@ -57,7 +58,10 @@
 
 type ControlBody = z.infer<typeof CONTROL_BODY>;
 
-/** Serves one call; the answer goes to `writer`, now or in the core's time. */
+/**
+ * Serves one call. The answer is written to `writer`, at once or as the engine
+ * generates it.
+ */
 export function handleEngineCall(
   core: EngineCore,
   call: EngineCall,
@@ -82,14 +86,14 @@
         writeJson(writer, { status: 200, body: { events } });
       })
       .with("GET /v1/cache/export", () => {
-        const asked = (url.searchParams.get("prefixes") ?? "").split(",");
-        writeBlob(writer, core.listCached(asked));
+        const requested = (url.searchParams.get("prefixes") ?? "").split(",");
+        writePrefixes(writer, core.listCached(requested));
       })
       .with("POST /v1/cache/import", () => {
-        const imported = core.addCached(readBlob(call.body));
+        const imported = core.addCached(readPrefixes(call.body));
         writeJson(writer, { status: 200, body: { imported } });
       })
-      .with("POST /v1/orders", () => handleOrder(core, call, writer))
+      .with("POST /v1/orders", () => handleCommand(core, call, writer))
       .with("POST /control", () => {
         applyControl(core, CONTROL_BODY.parse(readJson(call.body)));
         writeJson(writer, { status: 200, body: {} });
@@ -104,7 +108,7 @@
         writeJson(writer, { status: 200, body: { runs } });
       })
       .otherwise(() => {
-        const message = "No such call";
+        const message = "Unknown path or method";
         writeError(writer, { status: 404, code: "not_found", message });
       });
   } catch (thrown) {
@@ -137,18 +141,18 @@
     .exhaustive();
 }
 
-function handleOrder(
+function handleCommand(
   core: EngineCore,
   call: EngineCall,
   writer: AnswerWriter,
 ): void {
-  const body = ORDER_BODY.parse(readJson(call.body));
-  const order = { ...body, adapter: body.adapter, role: body.role };
-  if (core.applyCommand(order)) {
+  const body = COMMAND_BODY.parse(readJson(call.body));
+  const command = { ...body, adapter: body.adapter, role: body.role };
+  if (core.applyCommand(command)) {
     writeJson(writer, { status: 200, body: { accepted: true } });
     return;
   }
-  const message = "Fencing number is old";
+  const message = "The fencing number is outdated";
   writeError(writer, { status: 409, code: "old_fencing", message });
 }
 
@@ -181,14 +185,17 @@
   };
 }
 
-function writeBlob(writer: AnswerWriter, prefixes: readonly string[]): void {
+function writePrefixes(
+  writer: AnswerWriter,
+  prefixes: readonly string[],
+): void {
   const text = prefixes.join("\n");
   writer.writeHead(200, { "content-type": "application/octet-stream" });
   writer.write(text);
   writer.end();
 }
 
-function readBlob(body: Uint8Array): string[] {
+function readPrefixes(body: Uint8Array): string[] {
   return new TextDecoder().decode(body).split("\n")
     .filter((prefix) => prefix !== "");
 }
--- a/standin/engine_core.ts
+++ b/standin/engine_core.ts
@@ -1,7 +1,8 @@
 /**
  * A stand-in for a model engine, without sockets: batching, prefix cache,
- * priorities, cancel, resume, lagging reports, orders and faults. It runs on
- * an injected clock, so it serves the HTTP stand-in and virtual time alike.
+ * priorities, cancel, resume, delayed load reports, commands and faults. It
+ * takes the clock as a parameter, so that it runs both in the HTTP stand-in and
+ * in virtual time.
  *
  * @module
  */
@@ -28,14 +29,14 @@
   type RunRecord,
 } from "./engine_run.ts";
 
-/** What the engine says to a request. */
+/** The engine's answer to a request. */
 export type StartAnswer =
   | { kind: "accepted"; run: EngineRun }
-  /** Nothing was done. */
+  /** Refused before any work was done. */
   | { kind: "not_started"; message: string }
   | { kind: "bad_request"; message: string };
 
-/** One engine. Its time is the injected clock's. */
+/** One engine, driven by the given clock. */
 export class EngineCore {
   readonly options: EngineOptions;
   readonly counts: EngineCounts = createCounts();
@@ -45,7 +46,7 @@
   readonly #models: EngineModels;
   readonly #runs = new Map<string, RunRecord[]>();
   readonly #loads: LoadHistory;
-  #order = 0;
+  #nextSequence = 0;
   #leavingSince: number | undefined;
   #crashed = false;
   #crashAfterTokens = Infinity;
@@ -74,7 +75,7 @@
     this.#noteLoad();
   }
 
-  /** Options not given are those of `DEFAULT_ENGINE_OPTIONS`. */
+  /** Omitted options default to `DEFAULT_ENGINE_OPTIONS`. */
   static create(
     clock: Clock,
     random: Random,
@@ -95,7 +96,7 @@
     return this.#batch.waiting;
   }
 
-  /** Takes a request in; the listener hears of its tokens and its end. */
+  /** Starts a request; `listener` receives its tokens and its end. */
   startRun(request: EngineRequest, listener: RunListener): StartAnswer {
     const refusal = this.#check(request);
     if (refusal !== undefined) {
@@ -104,106 +105,118 @@
     }
     const run = new EngineRun(request, {
       listener,
-      order: this.#order++,
-      onCancel: (cancelled) => this.#drop(cancelled),
+      sequence: this.#nextSequence++,
+      onCancel: (cancelled) => this.#cancelRun(cancelled),
     });
-    const wrong = checkResume(run);
-    if (wrong !== undefined) {
+    const problem = checkResume(run);
+    if (problem !== undefined) {
       this.counts.refused++;
-      return { kind: "bad_request", message: wrong };
+      return { kind: "bad_request", message: problem };
     }
     this.#addRun(run);
     return { kind: "accepted", run };
   }
 
-  /** Every run of `requestId`, in order; more than one may be a fault. */
+  /**
+   * Lists the runs of `requestId` in order of arrival; more than one may be a
+   * fault of the router.
+   */
   listRuns(requestId: string): readonly RunRecord[] {
     return this.#runs.get(requestId) ?? [];
   }
 
-  /** Runs of `requestId` that began at its first token. */
+  /** Counts the runs of `requestId` that started at the first token. */
   countRuns(requestId: string): number {
     return this.listRuns(requestId)
       .filter((record) => record.resumedFrom === 0).length;
   }
 
-  /** Ids of every request that was accepted. */
+  /** Lists the ids of all accepted requests. */
   listRequestIds(): string[] {
     return [...this.#runs.keys()];
   }
 
-  /** The engine's account of its load, as old as `loadLagMs`. */
+  /** Returns the load report, which is `loadLagMs` old. */
   getLoad(): LoadReport {
     return this.#loads.get();
   }
 
-  /** Published cache events above `after`: late, and some never come. */
+  /**
+   * Lists the published cache events above `after`; events are delayed and some
+   * are lost.
+   */
   listCacheEvents(after: number): CacheEvent[] {
     return this.#cache.listEvents(after);
   }
 
-  /** Those of `prefixes` that are cached. */
+  /** Lists the members of `prefixes` that are cached. */
   listCached(prefixes: readonly string[]): string[] {
     return prefixes.filter((prefix) => this.#cache.has(prefix));
   }
 
-  /** Stores prefixes that another engine exported; returns how many. */
+  /** Imports prefixes that another engine exported; returns their number. */
   addCached(prefixes: readonly string[]): number {
     this.#cache.put(prefixes);
     this.#noteLoad();
     return prefixes.length;
   }
 
-  /** False when the fencing number is old and this engine checks it. */
-  applyCommand(order: EngineCommand): boolean {
-    const accepted = this.#models.applyOrder(order, () => this.#noteLoad());
+  /**
+   * Applies a command; returns false if its fencing number is outdated and this
+   * engine checks it.
+   */
+  applyCommand(command: EngineCommand): boolean {
+    const accepted = this.#models.applyCommand(command, () => this.#noteLoad());
     this.#noteLoad();
     return accepted;
   }
 
-  /** Every order that arrived, refused ones too. */
+  /** Lists all commands received, including refused ones. */
   listCommands(): readonly CommandRecord[] {
-    return this.#models.listOrders();
+    return this.#models.listCommands();
   }
 
-  /** Says in load reports that it takes no more work; it still would. */
+  /** Sets `leaving` in load reports; new requests are still accepted. */
   setLeaving(leaving: boolean): void {
     this.#leavingSince = leaving ? this.#clock.now() : undefined;
     this.#noteLoad();
   }
 
-  /** Does no work for `ms`; connections stay open. */
+  /** Stops all work for `ms`; connections stay open. */
   setStall(ms: number): void {
     this.#batch.setStall(ms);
   }
 
-  /** Nothing more is heard of the requests here now; new ones work. */
+  /** Stops answering the current requests; new ones are answered. */
   silenceRunningRequests(): void {
     for (const run of this.#batch.list()) run.silent = true;
   }
 
-  /** The next `count` requests are accepted and never heard of again. */
+  /** Accepts the next `count` requests and never answers them. */
   silenceNextRequests(count: number): void {
     this.#silentNext = count;
   }
 
-  /** The next `count` requests are told that nothing was done. */
+  /** Refuses the next `count` requests as not started. */
   refuseNextRequests(count: number): void {
     this.#refuseNext = count;
   }
 
-  /** Crashes once `tokens` more were generated; at once for 0. */
+  /** Crashes after `tokens` more generated tokens; at once for 0. */
   setCrashAfter(tokens: number): void {
     if (tokens <= 0) return this.#endByCrash();
     this.#crashAfterTokens = this.counts.tokens + tokens;
   }
 
-  /** Called when the engine crashes, after every run has ended. */
+  /** Sets the callback for a crash; it is called after all runs have ended. */
   setCrashHandler(onCrash: () => void): void {
     this.#onCrash = onCrash;
   }
 
-  /** Comes back empty after a crash; counts and run records stay. */
+  /**
+   * Restarts after a crash with an empty cache; counters and run records are
+   * kept.
+   */
   restart(): void {
     this.#crashed = false;
     this.#cache.clear();
@@ -212,14 +225,14 @@
 
   #check(request: EngineRequest): StartAnswer | undefined {
     if (this.#crashed) {
-      return { kind: "not_started", message: "Engine is down" };
+      return { kind: "not_started", message: "The engine has crashed" };
     }
     if (this.#refuseNext > 0) {
       this.#refuseNext--;
-      return { kind: "not_started", message: "Engine refused on request" };
+      return { kind: "not_started", message: "Refused by an injected fault" };
     }
     if (!this.#models.has(request.model)) {
-      return { kind: "not_started", message: "Model is not loaded" };
+      return { kind: "not_started", message: "The model is not loaded" };
     }
     return undefined;
   }
@@ -245,7 +258,7 @@
     this.#noteLoad();
   }
 
-  #drop(run: EngineRun): void {
+  #cancelRun(run: EngineRun): void {
     this.#batch.remove(run);
     this.counts.cancelled++;
     run.settle("cancelled");
@@ -289,10 +302,10 @@
 function checkResume(run: EngineRun): string | undefined {
   const { resumeTokens, resumeText } = run.request;
   if (resumeTokens > run.answer.length) {
-    return "More tokens to resume than the answer has";
+    return "x-resume-tokens exceeds the length of the answer";
   }
   if (resumeText !== run.answer.getText(0, resumeTokens)) {
-    return "Text to resume is not this engine's answer";
+    return "resume_text differs from this engine's answer";
   }
   return undefined;
 }
--- a/standin/engine_counts.ts
+++ b/standin/engine_counts.ts
@@ -1,30 +1,30 @@
 /**
- * What a stand-in engine has done so far.
+ * Counters of a stand-in engine.
  *
  * @module
  */
 
-/** Totals since the engine was made. */
+/** Totals since the engine was created. */
 export interface EngineCounts {
   accepted: number;
   refused: number;
   answered: number;
   cancelled: number;
   crashed: number;
-  /** Tokens generated. */
+  /** Generated tokens. */
   tokens: number;
-  /** Prompt and resumed tokens that were worked through. */
+  /** Prompt and resumed tokens that were prefilled. */
   prefillTokens: number;
-  /** Tokens that the prefix cache spared. */
+  /** Prompt tokens found in the prefix cache. */
   cachedTokens: number;
-  /** Runs put back because memory ran out. */
+  /** Runs returned to the queue for lack of memory. */
   putBack: number;
   acceptedWhileLeaving: number;
-  /** The latest acceptance, counted from when the engine began to leave. */
+  /** Time from the start of leaving to the last accepted request. */
   lastAcceptedAfterLeavingMs: number;
 }
 
-/** Counts that all stand at 0. */
+/** Creates counters that are all 0. */
 export function createCounts(): EngineCounts {
   return {
     accepted: 0,
--- a/standin/engine_load.ts
+++ b/standin/engine_load.ts
@@ -1,5 +1,5 @@
 /**
- * A stand-in engine's load reports, which lag behind.
+ * Load reports of a stand-in engine, which are out of date by a fixed delay.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   report: LoadReport;
 }
 
-/** The reports of the last `loadLagMs`, and the one in force before them. */
+/** The reports of the last `loadLagMs` and the one before them. */
 export class LoadHistory {
   readonly #clock: Clock;
   readonly #options: EngineOptions;
@@ -27,14 +27,14 @@
     return new LoadHistory(clock, options);
   }
 
-  /** Notes the load as it is now. */
+  /** Records the current load. */
   add(report: LoadReport): void {
     const now = this.#clock.now();
     this.#samples.push({ at: now, report });
     this.#dropOld(now);
   }
 
-  /** The load as it was `loadLagMs` ago, with its age. */
+  /** Returns the load as of `loadLagMs` ago, with its age. */
   get(): LoadReport {
     const now = this.#clock.now();
     this.#dropOld(now);
@@ -43,11 +43,15 @@
     return { ...sample.report, ageMs };
   }
 
-  /** Keeps the newest sample that is old enough, and those after it. */
+  /**
+   * Drops all samples before the newest one that is at least `loadLagMs` old.
+   */
   #dropOld(now: number): void {
     const latest = now - this.#options.loadLagMs;
-    const young = this.#samples.findIndex((sample) => sample.at > latest);
-    const end = young < 0 ? this.#samples.length : young;
+    const firstTooRecent = this.#samples.findIndex((sample) =>
+      sample.at > latest
+    );
+    const end = firstTooRecent < 0 ? this.#samples.length : firstTooRecent;
     if (end > 1) this.#samples.splice(0, end - 1);
   }
 }
--- a/standin/engine_models.ts
+++ b/standin/engine_models.ts
@@ -1,37 +1,37 @@
 /**
- * The models that a stand-in engine holds, and the orders that change them.
+ * The models loaded on a stand-in engine, and the commands that change them.
  *
  * @module
  */
 import { match } from "ts-pattern";
 import type { EngineCommand } from "../src/connection/upstream_transport.ts";
 import type { Clock } from "../src/process/clock.ts";
-import type { EngineOptions, HeldModel } from "./engine_options.ts";
+import type { EngineOptions, LoadedModel } from "./engine_options.ts";
 
 const ANY_MODEL = "*";
 const FIRST_ROLE = "serve";
 
-/** An order that arrived. */
+/** A command that the engine received. */
 export interface CommandRecord {
-  /** Time of arrival on the engine's clock, in milliseconds. */
+  /** Time of receipt on the engine's clock, in milliseconds. */
   at: number;
   command: EngineCommand;
   accepted: boolean;
 }
 
-/** What an engine has loaded, and who may change it. */
+/** Loaded models, the engine's role and the current fencing number. */
 export class EngineModels {
   readonly #clock: Clock;
   readonly #options: EngineOptions;
-  readonly #orders: CommandRecord[] = [];
-  #held: HeldModel[];
+  readonly #commands: CommandRecord[] = [];
+  #loaded: LoadedModel[];
   #role = FIRST_ROLE;
   #fencing = 0;
 
   constructor(clock: Clock, options: EngineOptions) {
     this.#clock = clock;
     this.#options = options;
-    this.#held = structuredClone(options.models);
+    this.#loaded = structuredClone(options.models);
   }
 
   static create(clock: Clock, options: EngineOptions): EngineModels {
@@ -42,75 +42,83 @@
     return this.#role;
   }
 
-  /** Fencing number of the last order that was accepted. */
+  /** Fencing number of the last accepted command. */
   get fencing(): number {
     return this.#fencing;
   }
 
-  /** Whether a model or an adapter of that name is loaded. */
+  /** Whether a model or an adapter named `name` is loaded. */
   has(name: string): boolean {
-    return this.#held.some((held) =>
-      held.model === ANY_MODEL || held.model === name ||
-      held.adapters.includes(name)
+    return this.#loaded.some((loaded) =>
+      loaded.model === ANY_MODEL || loaded.model === name ||
+      loaded.adapters.includes(name)
     );
   }
 
-  /** What is loaded; the list is replaced, never changed in place. */
-  list(): HeldModel[] {
-    return this.#held;
+  /** Returns the loaded models; the array is replaced, never modified. */
+  list(): LoadedModel[] {
+    return this.#loaded;
   }
 
-  listOrders(): readonly CommandRecord[] {
-    return this.#orders;
+  listCommands(): readonly CommandRecord[] {
+    return this.#commands;
   }
 
-  /** Takes an order; `onChange` is called when a load has come to its end. */
-  applyOrder(order: EngineCommand, onChange: () => void): boolean {
-    const isOld = order.fencing < this.#fencing;
+  /**
+   * Applies a command, unless it is fenced off; calls `onChange` once a load
+   * has completed.
+   */
+  applyCommand(command: EngineCommand, onChange: () => void): boolean {
+    const isOld = command.fencing < this.#fencing;
     const accepted = !(isOld && this.#options.fencing === "checked");
-    this.#orders.push({ at: this.#clock.now(), command: order, accepted });
+    this.#commands.push({ at: this.#clock.now(), command, accepted });
     if (!accepted) return false;
-    this.#fencing = order.fencing;
-    match(order.action)
-      .with("load", () => this.#startLoad(order, onChange))
-      .with("unload", () => this.#unload(order))
+    this.#fencing = command.fencing;
+    match(command.action)
+      .with("load", () => this.#startLoad(command, onChange))
+      .with("unload", () => this.#unload(command))
       .with("role", () => {
-        this.#role = order.role ?? FIRST_ROLE;
+        this.#role = command.role ?? FIRST_ROLE;
       })
       .exhaustive();
     return true;
   }
 
-  #startLoad(order: EngineCommand, onChange: () => void): void {
+  #startLoad(command: EngineCommand, onChange: () => void): void {
     this.#clock.startTimer(this.#options.loadModelMs, () => {
-      this.#load(order);
+      this.#load(command);
       onChange();
     });
   }
 
-  #load(order: EngineCommand): void {
-    const adapters = order.adapter === undefined ? [] : [order.adapter];
-    const held = this.#held.find((other) => isSameModel(other, order));
+  #load(command: EngineCommand): void {
+    const adapters = command.adapter === undefined ? [] : [command.adapter];
+    const loaded = this.#loaded.find((other) => isSameModel(other, command));
     const merged = {
-      model: order.model,
-      version: order.version,
-      adapters: [...new Set([...held?.adapters ?? [], ...adapters])],
+      model: command.model,
+      version: command.version,
+      adapters: [...new Set([...loaded?.adapters ?? [], ...adapters])],
     };
-    this.#held = [...this.#held.filter((other) => other !== held), merged];
+    this.#loaded = [
+      ...this.#loaded.filter((other) => other !== loaded),
+      merged,
+    ];
   }
 
-  /** An order with an adapter unloads only that. */
-  #unload(order: EngineCommand): void {
-    const rest = this.#held.filter((held) => !isSameModel(held, order));
-    const held = this.#held.find((other) => isSameModel(other, order));
-    if (held !== undefined && order.adapter !== undefined) {
-      const adapters = held.adapters.filter((name) => name !== order.adapter);
-      rest.push({ ...held, adapters });
+  /** Unloads the model, or only the adapter if the command names one. */
+  #unload(command: EngineCommand): void {
+    const rest = this.#loaded.filter((loaded) => !isSameModel(loaded, command));
+    const loaded = this.#loaded.find((other) => isSameModel(other, command));
+    if (loaded !== undefined && command.adapter !== undefined) {
+      const adapters = loaded.adapters.filter((name) =>
+        name !== command.adapter
+      );
+      rest.push({ ...loaded, adapters });
     }
-    this.#held = rest;
+    this.#loaded = rest;
   }
 }
 
-function isSameModel(held: HeldModel, order: EngineCommand): boolean {
-  return held.model === order.model && held.version === order.version;
+function isSameModel(loaded: LoadedModel, command: EngineCommand): boolean {
+  return loaded.model === command.model && loaded.version === command.version;
 }
--- a/standin/engine_options.ts
+++ b/standin/engine_options.ts
@@ -1,49 +1,51 @@
 /**
- * What a stand-in engine is like: speed, memory, lag and manners.
+ * Options of a stand-in engine: speed, memory, delays and behaviour.
  *
  * @module
  */
 
-/** A model that an engine holds. */
-export interface HeldModel {
+/** A model that is loaded on an engine. */
+export interface LoadedModel {
   model: string;
   version: string;
   adapters: string[];
 }
 
-/** The make of one engine. Times are milliseconds. */
+/** Options of one engine. Times are in milliseconds. */
 export interface EngineOptions {
-  /** Time of one step of the batch, before its requests are counted. */
+  /** Duration of a step of an empty batch. */
   baseMs: number;
-  /** What each running request adds to the step. */
+  /** Time that each running request adds to a step. */
   perRunningMs: number;
-  /** Multiplies every step; above 1 for a straggler. */
+  /** Multiplies the duration of every step; above 1 for a straggler. */
   speedFactor: number;
   prefillMsPerToken: number;
-  /** Prompt tokens that one step works on at most. */
+  /** Maximum number of prompt tokens prefilled in one step. */
   prefillTokensPerStep: number;
-  /** Requests that run at once. */
+  /** Maximum number of requests that run at once. */
   maxBatch: number;
-  /** Tokens of running requests that the memory holds. */
+  /** Memory capacity in tokens of running requests. */
   memoryTokens: number;
-  /** Prefixes that stay cached; the least recently used go first. */
+  /**
+   * Capacity of the prefix cache; the least recently used are evicted first.
+   */
   cachedPrefixes: number;
-  /** Prompt tokens that each hash in `x-prefix-hashes` stands for. */
+  /** Number of prompt tokens per hash in `x-prefix-hashes`. */
   tokensPerPrefix: number;
-  /** Age of the figures in a load report. */
+  /** Age of the values in a load report. */
   loadLagMs: number;
-  /** Time until a cache event can be read. */
+  /** Delay until a cache event is published. */
   cacheEventDelayMs: number;
   /** Share of cache events that are never published, 0 to 1. */
   cacheEventGapShare: number;
-  /** Time that an accepted load takes. */
+  /** Time to load a model after the command is accepted. */
   loadModelMs: number;
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether a command with an outdated fencing number is refused. */
   fencing: "checked" | "ignored";
-  models: HeldModel[];
+  models: LoadedModel[];
 }
 
-/** A middling engine; a model named `*` answers to every name. */
+/** Defaults; a model named `*` matches every name. */
 export const DEFAULT_ENGINE_OPTIONS: Readonly<EngineOptions> = {
   baseMs: 4,
   perRunningMs: 0.25,
--- a/standin/engine_server.ts
+++ b/standin/engine_server.ts
@@ -1,5 +1,5 @@
 /**
- * The model engine's HTTP stand-in.
+ * HTTP stand-in for a model engine.
  *
  * @module
  */
--- a/standin/engine_writer.ts
+++ b/standin/engine_writer.ts
@@ -1,17 +1,17 @@
 /**
- * Writes a run's tokens in the OpenAI shapes, streamed or whole.
+ * Writes a run's tokens in the OpenAI format, streamed or as one response.
  *
  * @module
  */
 import { type AnswerShape, type CompletionCall } from "./engine_body.ts";
 import type { EngineRun, RunEnd, RunListener } from "./engine_run.ts";
 
-/** Where an answer's bytes go. */
+/** Destination of an answer's bytes. */
 export interface AnswerWriter {
   writeHead(status: number, headers: Record<string, string>): void;
   write(text: string): void;
   end(): void;
-  /** Cuts the answer off. */
+  /** Closes the connection without completing the answer. */
   destroy(): void;
 }
 
@@ -21,7 +21,7 @@
   "cache-control": "no-cache",
 };
 
-/** Sends a whole JSON answer. */
+/** Sends a JSON response. */
 export function writeJson(
   writer: AnswerWriter,
   options: { status: number; body: unknown },
@@ -33,7 +33,7 @@
   writer.end();
 }
 
-/** Sends an error in the OpenAI shape. */
+/** Sends an error in the OpenAI format. */
 export function writeError(
   writer: AnswerWriter,
   options: { status: number; code: string; message: string },
@@ -43,7 +43,7 @@
   writeJson(writer, { status, body: { error } });
 }
 
-/** Turns one run's tokens to bytes; one event a token where streamed. */
+/** Encodes the tokens of one run; a stream has one event per token. */
 export class RunWriter implements RunListener {
   readonly #call: CompletionCall;
   readonly #writer: AnswerWriter;
@@ -59,7 +59,10 @@
     return new RunWriter(call, writer);
   }
 
-  /** Begins a streamed answer; call it as soon as the run has started. */
+  /**
+   * Writes the head of a streamed answer; must be called right after the run
+   * starts.
+   */
   start(run: EngineRun): void {
     this.#run = run;
     if (this.#shape.isStreamed) this.#writer.writeHead(200, EVENT_STREAM_TYPE);
@@ -79,7 +82,10 @@
     } else if (this.#shape.isStreamed) {
       this.#endStream(end);
     } else {
-      writeJson(this.#writer, { status: 200, body: this.#buildWhole(end) });
+      writeJson(this.#writer, {
+        status: 200,
+        body: this.#buildCompletion(end),
+      });
     }
   }
 
@@ -91,19 +97,19 @@
     this.#writeEvent(this.#buildChunk({ index: -1, text: "", end }));
     if (this.#shape.includeUsage) {
       const usage = this.#buildUsage();
-      this.#writeEvent({ ...this.#buildFrame(), choices: [], usage });
+      this.#writeEvent({ ...this.#buildEnvelope(), choices: [], usage });
     }
     this.#writer.write("data: [DONE]\n\n");
     this.#writer.end();
   }
 
-  #buildFrame() {
+  #buildEnvelope() {
     const { isChat, isStreamed } = this.#shape;
     const chatObject = isStreamed ? "chat.completion.chunk" : "chat.completion";
     return {
       id: this.#call.request.requestId,
       object: isChat ? chatObject : "text_completion",
-      // Fixed, so that the same request gives the same bytes.
+      // Fixed, so that equal requests yield equal bytes.
       created: 0,
       model: this.#call.request.model,
     };
@@ -116,10 +122,10 @@
     const choice = this.#shape.isChat
       ? { index: 0, delta: { ...role, ...content }, finish_reason: part.end }
       : { index: 0, text: part.text, finish_reason: part.end };
-    return { ...this.#buildFrame(), choices: [choice] };
+    return { ...this.#buildEnvelope(), choices: [choice] };
   }
 
-  #buildWhole(end: RunEnd) {
+  #buildCompletion(end: RunEnd) {
     const choice = this.#shape.isChat
       ? {
         index: 0,
@@ -128,13 +134,13 @@
       }
       : { index: 0, text: this.#text, finish_reason: end };
     return {
-      ...this.#buildFrame(),
+      ...this.#buildEnvelope(),
       choices: [choice],
       usage: this.#buildUsage(),
     };
   }
 
-  /** Counts the whole answer, resumed tokens included. */
+  /** Counts the tokens of the whole answer, including resumed ones. */
   #buildUsage() {
     const prompt = this.#run?.record.promptTokens ?? 0;
     const completion = this.#run?.nextToken ?? 0;
--- a/standin/http_stand_in.ts
+++ b/standin/http_stand_in.ts
@@ -1,5 +1,5 @@
 /**
- * What the HTTP stand-ins have in common: a port, calls, an end.
+ * Base class of the HTTP stand-ins: listens, reads calls and stops.
  *
  * @module
  */
@@ -15,7 +15,7 @@
 const LOOPBACK = "127.0.0.1";
 const MAX_BODY_BYTES = 64 * 1024 * 1024;
 
-/** One call with its whole body. */
+/** One call with its complete body. */
 export interface StandInCall {
   method: string;
   /** Path and query. */
@@ -24,24 +24,24 @@
   body: Uint8Array;
 }
 
-/** A stand-in that listens on loopback. */
+/** An HTTP server on loopback. */
 export abstract class HttpStandIn {
   readonly #sockets = new Set<Socket>();
   #server: Server | undefined;
   #port = 0;
 
-  /** Serves one call; what it throws ends as a 500. */
+  /** Serves one call; an error that it throws is answered with status 500. */
   protected abstract handleCall(
     call: StandInCall,
     response: ServerResponse,
   ): void | Promise<void>;
 
-  /** The port in use, once started. */
+  /** The port in use; 0 before `start`. */
   get port(): number {
     return this.#port;
   }
 
-  /** Listens on `port`, or a free one for 0; resolves to the port. */
+  /** Listens on `port`, or on a free port for 0; resolves to the port. */
   async start(port = 0): Promise<number> {
     const server = createServer((request, response) => {
       void this.#answerCall(request, response);
@@ -59,7 +59,7 @@
     return this.#port;
   }
 
-  /** Cuts every connection and gives the port back. */
+  /** Closes all connections and releases the port. */
   async stop(): Promise<void> {
     const server = this.#server;
     this.#server = undefined;
@@ -71,7 +71,7 @@
     await closed;
   }
 
-  /** Cuts every open connection; new ones are served. */
+  /** Destroys all open connections; new ones are still served. */
   destroyConnections(): void {
     for (const socket of this.#sockets) socket.destroy();
   }
@@ -99,7 +99,7 @@
   }
 }
 
-/** Sends a whole JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(
   response: ServerResponse,
   options: { status: number; body: unknown; headers?: Record<string, string> },
@@ -113,7 +113,7 @@
   response.end(text);
 }
 
-/** Reads a JSON body; an empty one is an empty object. */
+/** Parses a JSON body; an empty body yields an empty object. */
 export function readJsonBody(call: StandInCall): unknown {
   const text = new TextDecoder().decode(call.body);
   return text === "" ? {} : JSON.parse(text);
@@ -124,7 +124,7 @@
   let size = 0;
   for await (const part of request as AsyncIterable<Buffer>) {
     size += part.length;
-    if (size > MAX_BODY_BYTES) throw new Error("Body is too large");
+    if (size > MAX_BODY_BYTES) throw new Error("The request body is too large");
     parts.push(part);
   }
   return Buffer.concat(parts);
--- a/standin/index.ts
+++ b/standin/index.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins for engines, plain services and the platform, over HTTP.
+ * HTTP stand-ins for model engines, plain services and the platform.
  *
  * @module
  */
--- a/standin/main.ts
+++ b/standin/main.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one stand-in, or several of a kind, as a process of its own:
- * `node dist/standin/main.js engine --port 7001 --port 7002`. It prints one
- * line of JSON, `{"ports": [...]}`, once all listen; SIGTERM ends it.
+ * Runs one or more stand-ins of one kind in a process:
+ * `node dist/standin/main.js engine --port 7001 --port 7002`. Prints one line
+ * of JSON, `{"ports": [...]}`, once all listen; ends on SIGTERM.
  *
  * @module
  */
@@ -24,7 +24,7 @@
       type: "number",
       array: true,
       default: [0],
-      describe: "One for each stand-in; 0 takes a free one",
+      describe: "Port of each stand-in; 0 for a free port",
     })
     .option("options", {
       type: "string",
--- a/standin/platform_core.ts
+++ b/standin/platform_core.ts
@@ -4,19 +4,19 @@
  * @module
  */
 
-/** An index as published. */
+/** A published index of record groups. */
 export interface PublishedIndex {
   version: number;
   groups: Record<string, number>;
 }
 
-/** A membership list as published; VMs in the shape of docs/PLATFORM.md. */
+/** A published membership list; VMs have the format of docs/PLATFORM.md. */
 export interface PublishedList {
   revision: number;
   vms: unknown[];
 }
 
-/** What the service does to its readers. */
+/** A fault injected into all reads. */
 export type PlatformFault = "none" | "down" | "stale";
 
 interface Change {
@@ -24,7 +24,7 @@
   resolve: () => void;
 }
 
-/** What was published; older states stay for `stale`. */
+/** Published versions; older ones are kept for the `stale` fault. */
 export class PlatformCore {
   readonly #indexes: PublishedIndex[] = [];
   readonly #lists: PublishedList[] = [];
@@ -43,17 +43,17 @@
     return this.#fault;
   }
 
-  /** Calls so far; a waiting watch counts one. */
+  /** Number of calls so far; a watch counts once, however long it waits. */
   get calls(): number {
     return this.#calls;
   }
 
-  /** Counts one call of a reader. */
+  /** Counts one call. */
   noteCall(): void {
     this.#calls++;
   }
 
-  /** Publishes groups under the next version; the others stay. */
+  /** Publishes groups under the next version; other groups keep theirs. */
   addVersion(groups: Record<string, unknown[]>): number {
     const last = this.#indexes.at(-1);
     const version = (last?.version ?? 0) + 1;
@@ -67,7 +67,7 @@
     return version;
   }
 
-  /** Publishes an index and its groups as they are. */
+  /** Publishes the given index and its groups unchanged. */
   setIndex(index: PublishedIndex, groups: Record<string, unknown[]>): void {
     for (const [name, records] of Object.entries(groups)) {
       const version = index.groups[name] ?? index.version;
@@ -85,7 +85,7 @@
     return revision;
   }
 
-  /** `stale` goes on with what was published `behind` changes ago. */
+  /** Sets the fault; `stale` serves the state of `behind` publications ago. */
   setFault(fault: PlatformFault, behind = 1): void {
     this.#fault = fault;
     this.#staleIndex = this.#indexes.at(-1 - behind) ?? this.#indexes[0];
@@ -105,7 +105,7 @@
     return this.#groups.get(formatGroupKey(name, version));
   }
 
-  /** Resolves at the next change of anything. */
+  /** Resolves at the next change of an index, a list or the fault. */
   waitForChange(): Promise<void> {
     return this.#change.promise;
   }
--- a/standin/platform_server.ts
+++ b/standin/platform_server.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration and membership service's HTTP stand-in.
+ * HTTP stand-in for the configuration and membership service.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 } from "./http_stand_in.ts";
 import { PlatformCore } from "./platform_core.ts";
 
-const LONGEST_WAIT_MS = 60_000;
+const MAX_WAIT_MS = 60_000;
 const GROUP_PATH = /^\/v1\/values\/groups\/([^/]+)\/(\d+)$/;
 
 const CONTROL_BODY = z.object({
@@ -25,14 +25,19 @@
   behind: z.number().int().positive().optional(),
 }).strict();
 
-/** What a watch waits for: `read` gives the newer state, or nothing yet. */
+/**
+ * A long poll; `read` returns the newer state, or undefined until there is one.
+ */
 interface Watch<T> {
   read: () => T | undefined;
   waitMs: number;
   response: ServerResponse;
 }
 
-/** Serves a `PlatformCore` over HTTP; two that disagree are two of these. */
+/**
+ * Serves a `PlatformCore` over HTTP. Two services that disagree need two
+ * servers.
+ */
 export class PlatformServer extends HttpStandIn {
   readonly core: PlatformCore;
 
@@ -64,8 +69,8 @@
 
   async #answerRead(url: URL, response: ServerResponse): Promise<void> {
     const after = url.searchParams.get("after");
-    const asked = Number(url.searchParams.get("wait_ms") ?? "0");
-    const waitMs = Math.min(asked, LONGEST_WAIT_MS);
+    const requestedWaitMs = Number(url.searchParams.get("wait_ms") ?? "0");
+    const waitMs = Math.min(requestedWaitMs, MAX_WAIT_MS);
     const group = GROUP_PATH.exec(url.pathname);
     if (url.pathname === "/v1/values/index") {
       const read = () => {
@@ -82,7 +87,10 @@
     } else if (group !== null) {
       this.#answerGroup(group[1]!, { version: Number(group[2]), response });
     } else {
-      sendJson(response, { status: 404, body: { error: "No such value" } });
+      sendJson(response, {
+        status: 404,
+        body: { error: "Unknown path or method" },
+      });
     }
   }
 
@@ -92,7 +100,7 @@
   ): void {
     const records = this.core.findGroup(name, options.version);
     const answer = records === undefined
-      ? { status: 404, body: { error: "No such group" } }
+      ? { status: 404, body: { error: "Unknown group name or version" } }
       : { status: 200, body: { records } };
     sendJson(options.response, answer);
   }
@@ -100,10 +108,12 @@
   async #answerWatch<T>(watch: Watch<T>): Promise<void> {
     const { response } = watch;
     const timer = createTimeout(watch.waitMs);
-    const gone = new Promise<void>((resolve) => response.on("close", resolve));
+    const closed = new Promise<void>((resolve) =>
+      response.on("close", resolve)
+    );
     let value = watch.read();
     while (value === undefined && !timer.isOver() && !response.destroyed) {
-      await Promise.race([this.core.waitForChange(), timer.promise, gone]);
+      await Promise.race([this.core.waitForChange(), timer.promise, closed]);
       if (this.core.fault === "down") response.destroy();
       value = watch.read();
     }
@@ -134,7 +144,7 @@
   return { status: 200, body };
 }
 
-/** Without `after` everything published counts as newer. */
+/** Compares with `after`; without it, every published version is newer. */
 function isNewer(version: number | undefined, after: string | null): boolean {
   return version !== undefined && version > Number(after ?? "-1");
 }
--- a/standin/service_core.ts
+++ b/standin/service_core.ts
@@ -1,25 +1,25 @@
 /**
- * A plain service without sockets: look-ups that may be repeated, and posts
- * such as holds that may not, with counts by request id and faults on request.
+ * A plain service without sockets: idempotent look-ups, and posts (holds) that
+ * must not be repeated. Counts executions by request id and injects faults.
  *
  * @module
  */
 import { match, P } from "ts-pattern";
 
-/** What the next holds meet with. */
+/** A fault injected into a call. */
 export type ServiceFault =
-  /** A 503 that says that nothing was done. */
+  /** Answers 503 with `x-not-started`; no work is done. */
   | "not_started"
-  /** The connection is cut before the work. */
+  /** Closes the connection before the work. */
   | "cut_before"
-  /** The connection is cut after the work. */
+  /** Closes the connection after the work. */
   | "cut_after"
-  /** The work is done and no answer ever comes. */
+  /** Does the work and never answers. */
   | "hang"
-  /** A 500 after the work. */
+  /** Answers 500 after the work. */
   | "failed";
 
-/** What the service answers to one call. */
+/** The service's answer to one call. */
 export type ServiceAnswer =
   | {
     kind: "answer";
@@ -38,7 +38,7 @@
   body: string;
 }
 
-/** Holds and look-ups in memory. */
+/** An in-memory service with holds and look-ups. */
 export class ServiceCore {
   readonly #calls = new Map<string, number>();
   readonly #executions = new Map<string, number>();
@@ -49,27 +49,30 @@
     return new ServiceCore();
   }
 
-  /** The next calls meet with `faults`, one each, in order. */
+  /** Injects `faults` into the next calls, one each, in order. */
   setFaults(faults: readonly ServiceFault[]): void {
     this.#faults = [...faults];
   }
 
-  /** How often the hold of `requestId` was carried out. */
+  /** Counts the executions of the hold of `requestId`. */
   countExecutions(requestId: string): number {
     return this.#executions.get(requestId) ?? 0;
   }
 
-  /** Calls that did any work, look-ups too, by request id. */
+  /**
+   * Returns the number of calls that did any work, including look-ups, by
+   * request id.
+   */
   listCalls(): Record<string, number> {
     return Object.fromEntries(this.#calls);
   }
 
-  /** Executions of every request id. */
+  /** Returns the number of executed holds by request id. */
   listExecutions(): Record<string, number> {
     return Object.fromEntries(this.#executions);
   }
 
-  /** Carries one call out. */
+  /** Executes one call. */
   handleCall(call: ServiceCall): ServiceAnswer {
     const fault = this.#faults.shift();
     if (fault === "not_started") return buildNotStarted();
@@ -79,7 +82,13 @@
       .with(undefined, () => answer)
       .with("cut_after", () => ({ kind: "cut" }) as const)
       .with("hang", () => ({ kind: "silent" }) as const)
-      .with("failed", () => buildAnswer(500, { error: "Failed after work" }))
+      .with(
+        "failed",
+        () =>
+          buildAnswer(500, {
+            error: "Injected failure after the work was done",
+          }),
+      )
       .exhaustive();
   }
 
@@ -109,7 +118,7 @@
   }
 }
 
-/** What a look-up under `path` gives: a pure function of the path. */
+/** Builds the body of a look-up's answer, a pure function of `path`. */
 export function buildLookupBody(path: string) {
   return { path, slots: [path.length, path.length + 1] };
 }
@@ -123,6 +132,6 @@
     kind: "answer",
     status: 503,
     headers: { "x-not-started": "1" },
-    body: { error: "Nothing was done" },
+    body: { error: "Refused before any work was done" },
   };
 }
--- a/standin/service_server.ts
+++ b/standin/service_server.ts
@@ -1,5 +1,5 @@
 /**
- * The plain service's HTTP stand-in.
+ * HTTP stand-in for a plain service.
  *
  * @module
  */
@@ -31,7 +31,7 @@
     this.#delayMs = delayMs;
   }
 
-  /** `delayMs` passes between a call and its answer. */
+  /** `delayMs` is the delay of each answer. */
   static create(options: { delayMs?: number } = {}): ServiceServer {
     return new ServiceServer(ServiceCore.create(), options.delayMs ?? 2);
   }
--- a/standin/virtual_clock.ts
+++ b/standin/virtual_clock.ts
@@ -1,5 +1,5 @@
 /**
- * Virtual time: the code that serves runs in it without waiting.
+ * Virtual time, in which production code runs without real delays.
  *
  * @module
  */
@@ -11,7 +11,7 @@
   callback: (() => void) | undefined;
 }
 
-/** A clock that moves only when `run` moves it. */
+/** A clock that advances only within `run`. */
 export class VirtualClock extends Clock {
   #now = 0;
   #order = 0;
@@ -41,7 +41,10 @@
     };
   }
 
-  /** Runs every timer up to `ms` from now, letting tasks go on in between. */
+  /**
+   * Advances by `ms`: fires the timers that are due, in order, and runs pending
+   * tasks after each time.
+   */
   async run(ms: number): Promise<void> {
     const end = this.#now + ms;
     await flushTasks();
@@ -100,7 +103,7 @@
     (left.at === right.at && left.order < right.order);
 }
 
-/** Lets every promise that can go on do so. */
+/** Runs all pending promise callbacks. */
 export function flushTasks(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
--- a/standin/virtual_fleet.ts
+++ b/standin/virtual_fleet.ts
@@ -1,5 +1,6 @@
 /**
- * Several VMs' fleet parts in one process, in virtual time.
+ * The membership and configuration components of several VMs in one process and
+ * in virtual time.
  *
  * @module
  */
@@ -25,7 +26,7 @@
 
 const STEP_MS = 10;
 
-/** One VM's fleet parts. */
+/** Fleet components of one VM. */
 export interface FleetVm {
   listed: ListedVm;
   environment: Environment;
@@ -34,7 +35,7 @@
   prober: Prober;
 }
 
-/** How a fleet is made. */
+/** Options of a fleet. */
 export interface FleetOptions {
   count: number;
   dataCentres?: number;
@@ -51,7 +52,7 @@
   readonly #random: SeededRandom;
   readonly #log: Log;
   readonly #seeds: VmId[];
-  #lives = 0;
+  #incarnations = 0;
 
   constructor(options: FleetOptions) {
     this.#random = SeededRandom.create(options.seed ?? 1);
@@ -67,19 +68,19 @@
     for (const vm of listed) this.addVm(vm);
   }
 
-  /** `count` VMs over some data centres, all listed, none started. */
+  /** Creates `count` listed VMs spread over the data centres; starts none. */
   static create(options: FleetOptions): VirtualFleet {
     return new VirtualFleet(options);
   }
 
-  /** Puts one more life of a VM on the network, not started. */
+  /** Adds a new incarnation of a VM to the network without starting it. */
   addVm(listed: ListedVm, service = this.service): FleetVm {
-    this.#lives += 1;
+    this.#incarnations += 1;
     const vm = listed.id;
     const clock = this.network.createClock(vm);
     const environment: Environment = {
       vm,
-      incarnation: toId<Incarnation>(`${vm}-${this.#lives}`),
+      incarnation: toId<Incarnation>(`${vm}-${this.#incarnations}`),
       dataCentre: listed.dataCentre,
       clock,
       random: SeededRandom.create(this.#random.nextInt(2 ** 31)),
@@ -99,28 +100,28 @@
       membership,
       versions: follower,
     });
-    const one = { listed, environment, membership, follower, prober };
-    this.vms.set(vm, one);
-    this.network.addVm(vm, new FleetPeer(one));
-    return one;
+    const fleetVm = { listed, environment, membership, follower, prober };
+    this.vms.set(vm, fleetVm);
+    this.network.addVm(vm, new FleetPeer(fleetVm));
+    return fleetVm;
   }
 
   startAll(): void {
     for (const vm of this.vms.values()) startVm(vm);
   }
 
-  /** Kills a VM's process. */
+  /** Stops a VM as if its process had been killed. */
   stopVm(vm: VmId): void {
-    const one = this.vms.get(vm);
-    if (one === undefined) return;
+    const stopped = this.vms.get(vm);
+    if (stopped === undefined) return;
     this.network.removeVm(vm);
-    one.follower.stop();
-    one.prober.stop();
-    one.membership.stop();
+    stopped.follower.stop();
+    stopped.prober.stop();
+    stopped.membership.stop();
     this.vms.delete(vm);
   }
 
-  /** The versions in force, one for each VM. */
+  /** Lists the configuration version in force on each VM. */
   listVersions(): number[] {
     return this.list().map((vm) => vm.follower.getVersions().configVersion);
   }
@@ -129,7 +130,10 @@
     return [...this.vms.values()];
   }
 
-  /** Runs until `isDone`, and gives the time taken; fails after `maxMs`. */
+  /**
+   * Runs until `isDone` and returns the virtual time taken; throws after
+   * `maxMs`.
+   */
   async runUntil(
     isDone: () => boolean,
     maxMs: number,
@@ -138,7 +142,7 @@
     const startedAt = this.clock.now();
     while (!isDone()) {
       if (this.clock.now() - startedAt >= maxMs) {
-        throw new Error(`Not done within ${maxMs} ms`);
+        throw new Error(`Condition not met within ${maxMs} ms`);
       }
       await this.clock.run(stepMs);
     }
@@ -146,14 +150,14 @@
   }
 }
 
-/** Starts the tasks of one VM. */
+/** Starts the background tasks of one VM. */
 export function startVm(vm: FleetVm): void {
   vm.membership.start();
   vm.follower.start();
   vm.prober.start();
 }
 
-/** `count` listed entry VMs, named vm-0 and so on. */
+/** Creates `count` listed entry VMs named vm-0, vm-1 and so on. */
 export function createListedVms(
   count: number,
   dataCentres: number,
@@ -170,7 +174,7 @@
   }));
 }
 
-/** Answers what the fleet's parts answer; a test of these needs no more. */
+/** Serves only the calls of the fleet components; refuses all others. */
 class FleetPeer extends PeerApi {
   readonly #vm: FleetVm;
 
@@ -203,5 +207,5 @@
 }
 
 function refuseCall(): Promise<never> {
-  return Promise.reject(new Error("This VM has only the fleet's parts"));
+  return Promise.reject(new Error("This VM runs only the fleet components"));
 }
--- a/standin/virtual_network.ts
+++ b/standin/virtual_network.ts
@@ -1,5 +1,6 @@
 /**
- * A network of VMs in one process and in virtual time, for tests and benches.
+ * A network of VMs in one process and in virtual time, for tests and
+ * benchmarks.
  *
  * @module
  */
@@ -25,17 +26,17 @@
 const DEFAULT_DELAY_MS = 0.5;
 const DEFAULT_TIMEOUT_MS = 1_000;
 
-/** What a network starts with. */
+/** Options of a network. */
 export interface NetworkOptions {
   clock: Clock;
   random: Random;
-  /** One way, between every two VMs. */
+  /** Default one-way delay between any two VMs. */
   delayMs?: number;
-  /** How long a caller waits for an answer. */
+  /** Time after which an unanswered call fails. */
   timeoutMs?: number;
 }
 
-/** What one VM sent and received, counted as JSON without headers. */
+/** Traffic of one VM, measured as JSON without headers. */
 export interface Traffic {
   messagesSent: number;
   bytesSent: number;
@@ -43,15 +44,18 @@
   bytesReceived: number;
 }
 
-/** What waits for a paused VM. */
-interface Waiting {
+/** Callbacks deferred while a VM is paused. */
+interface PausedWork {
   timers: (() => void)[];
   messages: (() => void)[];
 }
 
 type Invoke = (api: PeerApi, args: unknown[]) => Promise<unknown>;
 
-/** Carries calls between registered VMs, as badly as it is told to. */
+/**
+ * Carries calls between registered VMs, with delays, losses, partitions and
+ * pauses.
+ */
 export class VirtualNetwork {
   readonly #clock: Clock;
   readonly #random: Random;
@@ -60,7 +64,7 @@
   readonly #apis = new Map<VmId, PeerApi>();
   readonly #delays = new Map<string, number>();
   readonly #cuts = new Set<string>();
-  readonly #paused = new Map<VmId, Waiting>();
+  readonly #paused = new Map<VmId, PausedWork>();
   readonly #traffic = new Map<VmId, Traffic>();
   #lossRate = 0;
   #duplicateRate = 0;
@@ -76,25 +80,32 @@
     return new VirtualNetwork(options);
   }
 
-  /** Puts a VM on the network; a restarted one replaces its former life. */
+  /**
+   * Adds a VM to the network; a restarted VM replaces its previous incarnation.
+   */
   addVm(vm: VmId, api: PeerApi): void {
     this.#apis.set(vm, api);
   }
 
-  /** Ends a VM's process: calls to it are refused after one round trip. */
+  /**
+   * Removes a VM as if its process had ended: calls to it are refused after one
+   * round trip.
+   */
   removeVm(vm: VmId): void {
     this.#apis.delete(vm);
     this.#paused.delete(vm);
   }
 
-  /** The channels that `vm` has to the others. */
+  /** Creates the directory through which `vm` calls the others. */
   createDirectory(vm: VmId): PeerDirectory {
     return new VirtualDirectory((to, invoke, args) =>
       this.#sendCall({ from: vm, to }, invoke, args)
     );
   }
 
-  /** A clock for `vm` whose timers wait while the VM is paused. */
+  /**
+   * Creates a clock for `vm` whose timers are deferred while the VM is paused.
+   */
   createClock(vm: VmId): Clock {
     return new PausableClock(
       this.#clock,
@@ -102,20 +113,20 @@
     );
   }
 
-  /** Swallows everything between `a` and `b`, both ways. */
+  /** Drops all messages between `a` and `b`, in both directions. */
   cut(a: VmId, b: VmId): void {
     this.#cuts.add(toLink(a, b));
     this.#cuts.add(toLink(b, a));
   }
 
-  /** Swallows everything between the VMs of one side and of the other. */
+  /** Drops all messages between the VMs of `left` and those of `right`. */
   cutBetween(left: readonly VmId[], right: readonly VmId[]): void {
     for (const a of left) {
       for (const b of right) this.cut(a, b);
     }
   }
 
-  /** Mends the link between `a` and `b`, or every link. */
+  /** Restores the link between `a` and `b`, or all links. */
   heal(a?: VmId, b?: VmId): void {
     if (a === undefined || b === undefined) {
       this.#cuts.clear();
@@ -125,32 +136,32 @@
     this.#cuts.delete(toLink(b, a));
   }
 
-  /** Sets the one-way delay between `a` and `b`, both ways. */
+  /** Sets the one-way delay between `a` and `b`, in both directions. */
   setDelay(a: VmId, b: VmId, ms: number): void {
     this.#delays.set(toLink(a, b), ms);
     this.#delays.set(toLink(b, a), ms);
   }
 
-  /** Share of messages that vanish, each way, 0 to 1. */
+  /** Sets the share of messages that are lost in each direction, 0 to 1. */
   setLossRate(rate: number): void {
     this.#lossRate = rate;
   }
 
-  /** Share of calls that arrive twice, 0 to 1. */
+  /** Sets the share of calls that are delivered twice, 0 to 1. */
   setDuplicateRate(rate: number): void {
     this.#duplicateRate = rate;
   }
 
-  /** Stops a VM as SIGSTOP does: its timers and messages wait. */
+  /** Pauses a VM as SIGSTOP does: its timers and messages are deferred. */
   pause(vm: VmId): void {
     if (this.#paused.has(vm)) return;
     this.#paused.set(vm, { timers: [], messages: [] });
   }
 
   /**
-   * Lets a paused VM go on. Timers that are due run before any message is
-   * read, as they do in Node's event loop: what waited for an answer finds
-   * its time over although the answer is there.
+   * Resumes a paused VM. Timers that are due run before any message is read,
+   * as in Node's event loop, so a call can time out although its answer has
+   * already arrived.
    */
   resume(vm: VmId): void {
     const waiting = this.#paused.get(vm);
@@ -162,7 +173,7 @@
     }
   }
 
-  /** What `vm` sent and received so far. */
+  /** Returns the traffic of `vm` so far. */
   getTraffic(vm: VmId): Traffic {
     let traffic = this.#traffic.get(vm);
     if (traffic === undefined) {
@@ -194,7 +205,7 @@
           this.#runUnlessPaused(
             from,
             "timers",
-            () => fail("The peer did not answer"),
+            () => fail("The peer did not answer within the timeout"),
           ),
       );
       const answer = (callback: () => void, body: unknown) =>
@@ -215,7 +226,10 @@
             answer(settle, value);
           },
           (error) =>
-            answer(() => fail("The peer failed", toError(error)), null),
+            answer(
+              () => fail("The peer returned an error", toError(error)),
+              null,
+            ),
         );
       };
       this.#sendMessage(link, args, run);
@@ -250,7 +264,7 @@
 
   #runUnlessPaused(
     vm: VmId,
-    kind: keyof Waiting,
+    kind: keyof PausedWork,
     callback: () => void,
   ): void {
     const waiting = this.#paused.get(vm);
@@ -332,7 +346,7 @@
   }
 }
 
-/** Each call goes through the network as JSON, as it would on a socket. */
+/** Sends each call through the network as JSON, as over a socket. */
 class VirtualPeer extends PeerApi {
   readonly #send: (invoke: Invoke, args: unknown[]) => Promise<unknown>;
 
@@ -342,57 +356,57 @@
   }
 
   acquire(call: AcquireCall): ReturnType<PeerApi["acquire"]> {
-    return this.#ask("acquire", call);
+    return this.#sendCall("acquire", call);
   }
 
   syncLeases(call: SyncCall): ReturnType<PeerApi["syncLeases"]> {
-    return this.#ask("syncLeases", call);
+    return this.#sendCall("syncLeases", call);
   }
 
   probe(call: ProbeCall): ReturnType<PeerApi["probe"]> {
-    return this.#ask("probe", call);
+    return this.#sendCall("probe", call);
   }
 
   probeVia(
     target: VmId,
     call: ProbeCall,
   ): ReturnType<PeerApi["probeVia"]> {
-    return this.#ask("probeVia", target, call);
+    return this.#sendCall("probeVia", target, call);
   }
 
   fetchSnapshot(call: SnapshotCall): ReturnType<PeerApi["fetchSnapshot"]> {
-    return this.#ask("fetchSnapshot", call);
+    return this.#sendCall("fetchSnapshot", call);
   }
 
   leaseLimit(call: LimitCall): ReturnType<PeerApi["leaseLimit"]> {
-    return this.#ask("leaseLimit", call);
+    return this.#sendCall("leaseLimit", call);
   }
 
   claimRun(call: ClaimCall): ReturnType<PeerApi["claimRun"]> {
-    return this.#ask("claimRun", call);
+    return this.#sendCall("claimRun", call);
   }
 
   settleRun(call: SettleCall): ReturnType<PeerApi["settleRun"]> {
-    return this.#ask("settleRun", call);
+    return this.#sendCall("settleRun", call);
   }
 
   findFate(call: RequestStatusCall): ReturnType<PeerApi["findFate"]> {
-    return this.#ask("findFate", call);
+    return this.#sendCall("findFate", call);
   }
 
   handOver(call: HandOverCall): ReturnType<PeerApi["handOver"]> {
-    return this.#ask("handOver", call);
+    return this.#sendCall("handOver", call);
   }
 
   collectStats(): ReturnType<PeerApi["collectStats"]> {
-    return this.#ask("collectStats");
+    return this.#sendCall("collectStats");
   }
 
   noteSuspects(call: SuspectsCall): ReturnType<PeerApi["noteSuspects"]> {
-    return this.#ask("noteSuspects", call);
+    return this.#sendCall("noteSuspects", call);
   }
 
-  #ask<T>(method: keyof PeerApi, ...args: unknown[]): Promise<T> {
+  #sendCall<T>(method: keyof PeerApi, ...args: unknown[]): Promise<T> {
     const invoke: Invoke = (api, received) => {
       const run = api[method] as (...given: unknown[]) => Promise<unknown>;
       return run.apply(api, received);
--- a/standin/virtual_service.ts
+++ b/standin/virtual_service.ts
@@ -1,5 +1,5 @@
 /**
- * A configuration service in virtual time, for tests and benches.
+ * A configuration service in virtual time, for tests and benchmarks.
  *
  * @module
  */
@@ -11,25 +11,27 @@
 
 const READ_DELAY_MS = 3;
 
-/** What one configuration service has; several VMs may read it. */
+/** One configuration service, which several VMs may read. */
 export class VirtualService {
   readonly #clock: Clock;
   readonly #groups = new Map<string, unknown[]>();
   #index: RecordIndex | undefined;
   #list: { revision: number; vms: unknown[] } | undefined;
   #waiters = new Set<() => void>();
-  /** Calls so far; a waiting watch is one. */
+  /** Number of calls so far; a watch counts once, however long it waits. */
   calls = 0;
   groupCalls = 0;
   isDown = false;
-  /** VMs that the service answers; all when undefined. */
+  /** VMs that can reach the service; undefined for all. */
   reachableBy: Set<VmId> | undefined;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Publishes `records` as `version`, even below the one before. */
+  /**
+   * Publishes `records` as `version`, which may be lower than the previous one.
+   */
   putVersion(version: number, records: unknown[]): void {
     const groups = new Map<string, number>();
     for (const { name, records: part } of buildRecordGroups(records)) {
@@ -49,7 +51,7 @@
     this.#resumeWaiters();
   }
 
-  /** The service as `vm` reaches it. */
+  /** Creates the source through which `vm` reads the service. */
   createSource(vm: VmId, clock: Clock): ConfigurationSource {
     return new VirtualServiceSource({ service: this, vm, clock });
   }
@@ -63,7 +65,7 @@
     const endsAt = this.#clock.now() + options.waitMs;
     await reader.clock.sleep(READ_DELAY_MS, options.signal);
     while (true) {
-      this.#checkUp(reader.vm);
+      this.#checkReachable(reader.vm);
       const value = find();
       if (value !== undefined) return structuredClone(value);
       const leftMs = endsAt - this.#clock.now();
@@ -90,9 +92,9 @@
     return version === undefined ? undefined : `${name}/${version}`;
   }
 
-  #checkUp(vm: VmId): void {
+  #checkReachable(vm: VmId): void {
     const isReachable = this.reachableBy?.has(vm) ?? true;
-    if (this.isDown || !isReachable) throw new Error("The service is down");
+    if (this.isDown || !isReachable) throw new Error("Service unreachable");
   }
 
   #resumeWaiters(): void {
--- a/test/bench/bench_clock_test.ts
+++ b/test/bench/bench_clock_test.ts
@@ -1,12 +1,10 @@
 import { expect, test } from "vitest";
 import { BenchClock } from "../../bench/support/bench_clock.ts";
 
-// Symptom: a bench never ended, with one core busy.
-// Sequence: a task waits for a limit by sleeping for the rest of it; after the
-// sleep a rest is left that is smaller than the rounding of the time, so the
-// next sleep ends at the same time.
-// Cause: time stood still for a timer with time left.
-test("a wait for the rest of a limit comes to its end", async () => {
+// Guards against a benchmark that never ends. A task waits for a limit by
+// sleeping for the remainder. If the remainder is below the rounding of the
+// clock, the next sleep ends at the same time, and so on.
+test("a wait for the remainder of a limit ends", async () => {
   const clock = BenchClock.create();
   await clock.run(100_000 + 1 / 7);
   const since = clock.now();
@@ -24,7 +22,7 @@
   expect(rounds).toBeLessThan(10);
 });
 
-test("timers of the same time fire in the order of their start", async () => {
+test("timers that are due at the same time fire in the order of their start", async () => {
   const clock = BenchClock.create();
   const fired: number[] = [];
   for (const number of [1, 2, 3]) {
--- a/test/bench/cache_handover_test.ts
+++ b/test/bench/cache_handover_test.ts
@@ -11,7 +11,7 @@
   durationMs: 26_000,
 };
 
-test("the same seed gives the same figures, and a copy spares prefill", async () => {
+test("a run is deterministic for a seed, and a copy reduces prefill", async () => {
   const none = await runHandOver({ ...OPTIONS, handOverTo: "none" });
   const again = await runHandOver({ ...OPTIONS, handOverTo: "none" });
   const all = await runHandOver({ ...OPTIONS, handOverTo: "all" });
@@ -22,7 +22,7 @@
   expect(all.window.met).toBe(all.window.offered);
 });
 
-test("a copy that takes longer than the run helps nobody", async () => {
+test("a copy that takes longer than the run has no effect", async () => {
   const cost = { transferMs: 1_000, stallMs: 0 };
   const none = await runHandOver({ ...OPTIONS, handOverTo: "none" });
   const late = await runHandOver({ ...OPTIONS, handOverTo: "all", cost });
--- a/test/bench/capacity_page_test.ts
+++ b/test/bench/capacity_page_test.ts
@@ -1,5 +1,5 @@
 /**
- * Holds docs/CAPACITY.md to the figures that were measured.
+ * Tests that docs/CAPACITY.md shows the measured figures.
  *
  * @module
  */
@@ -16,15 +16,14 @@
 ) as SlopeFile;
 
 describe("docs/CAPACITY.md", () => {
-  // Symptom: the page promises what no run showed. Sequence: a slope is
-  // measured anew, or a sum is changed, and the page is not. Cause: figures
-  // copied by hand.
-  it("has the tables that the saved figures give", () => {
+  // Guards against a page with figures that no run produced: its tables must be
+  // rendered again whenever a slope or a computation changes.
+  it("has the tables rendered from the saved figures", () => {
     const page = readFileSync("docs/CAPACITY.md", "utf8");
     expect(renderPage(page, file)).toBe(page);
   });
 
-  it("rests on lines through four sizes at least", () => {
+  it("uses lines fitted to at least four sizes", () => {
     expect(file.slopes.length).toBeGreaterThan(0);
     for (const { name, points, size, unit, ...line } of file.slopes) {
       const sizes = new Set(points.map(([one]) => one));
@@ -36,7 +35,7 @@
 });
 
 describe("buildSlope", () => {
-  it("finds a line and tells how far the points lie from it", () => {
+  it("fits a line and reports its residual", () => {
     const labels = { size: "n", unit: "µs" };
     const exact = buildSlope("a", [[1, 5], [2, 7], [4, 11]], labels);
     expect(exact.start).toBeCloseTo(3);
--- a/test/bench/grant_order_test.ts
+++ b/test/bench/grant_order_test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-test("counts pairs that waited together, and those granted the wrong way", () => {
+test("counts pairs that waited together, and those granted out of order", () => {
   const tickets = [
     buildTicket(0, { at: 30, order: 1 }),
     buildTicket(10, { at: 20, order: 0 }),
@@ -34,7 +34,7 @@
   expect(countPairs(tickets, "class")).toEqual({ pairs: 2, outOfOrder: 1 });
 });
 
-test("looks at no pair of two workspaces where the fair share decides", () => {
+test("ignores pairs of different workspaces when counting within a workspace", () => {
   const tickets = [
     buildTicket(0, { at: 30, order: 1 }),
     buildTicket(10, { at: 20, order: 0 }, "south"),
@@ -42,7 +42,7 @@
   expect(countPairs(tickets, "workspace")).toEqual({ pairs: 0, outOfOrder: 0 });
 });
 
-test("the same seed gives the same figures, and only wrong clocks disorder", async () => {
+test("a run is deterministic for a seed, and only clock errors change the order", async () => {
   const options = {
     user: "kontrola_sever" as const,
     seed: 1,
--- a/test/bench/oracle_test.ts
+++ b/test/bench/oracle_test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, test } from "vitest";
 import {
-  buildNaive,
-  buildOurs,
+  buildNaiveRouter,
   type BuildRouter,
+  buildRuntimeRouter,
   runScenario,
 } from "../../bench/run_scenario.ts";
 import type { RunFigures } from "../../bench/figures.ts";
@@ -28,7 +28,7 @@
   });
 }
 
-/** A sink whose answer a broken router changes on the way. */
+/** A sink that changes the answer, to simulate a faulty router. */
 class ChangedSink extends CallerSink {
   readonly #sink: CallerSink;
   readonly #change: (text: string) => string;
@@ -65,7 +65,7 @@
   }
 }
 
-/** A sink for `sink`'s request that takes an answer and passes nothing on. */
+/** Builds a sink for `sink`'s request that discards the answer. */
 function buildSilentSink(sink: CallerSink): CallerSink {
   const silent = new ChangedSink(sink, () => "");
   silent.writeHead = () => {};
@@ -73,7 +73,7 @@
   return silent;
 }
 
-/** The naive router with `wrap` around what it does for one request. */
+/** Builds the naive router with `wrap` around the handling of each request. */
 function buildBroken(
   wrap: (
     router: BenchRouter,
@@ -81,7 +81,7 @@
   ) => Promise<void>,
 ): BuildRouter {
   return (parts) => {
-    const router = buildNaive(parts);
+    const router = buildNaiveRouter(parts);
     const handle = router.handle.bind(router);
     const inner = { handle } as BenchRouter;
     router.handle = (vm, request, sink) => wrap(inner, [vm, request, sink]);
@@ -91,16 +91,16 @@
 
 describe("runScenario", () => {
   test("the same seed gives the same figures", async () => {
-    const first = await runShort("mixed", buildOurs());
-    const second = await runShort("mixed", buildOurs());
+    const first = await runShort("mixed", buildRuntimeRouter());
+    const second = await runShort("mixed", buildRuntimeRouter());
     expect(second).toEqual(first);
     expect(first.broken).toEqual({});
     expect(first.classes["chat"]!.offered).toBeGreaterThan(10);
   });
 });
 
-describe("the oracle finds", () => {
-  test("an answer with one changed byte", async () => {
+describe("the oracle detects", () => {
+  test("an answer with a changed byte", async () => {
     const figures = await runShort(
       "unloaded",
       buildBroken((router, [vm, request, sink]) => {
@@ -111,7 +111,7 @@
     expect(figures.broken["wrong_answer"]).toBeGreaterThan(0);
   });
 
-  test("a call that may run once and is sent twice", async () => {
+  test("a non-idempotent call that is executed twice", async () => {
     const figures = await runShort(
       "unloaded",
       buildBroken(async (router, [vm, request, sink]) => {
@@ -122,7 +122,7 @@
     expect(figures.broken["doubled"]).toBeGreaterThan(0);
   });
 
-  test("a request that ran and is said not to have run", async () => {
+  test("a request that ran but is reported as not run", async () => {
     const figures = await runShort(
       "unloaded",
       buildBroken(async (router, [vm, request, sink]) => {
@@ -138,16 +138,16 @@
 });
 
 describe("computeLongestStall", () => {
-  test("counts from the last progress while any waits", () => {
+  test("measures from the last progress while requests wait", () => {
     const traces = [[0, 1], [10, 2], [20, 3]].map(([at, tag]) => ({
       request: { className: "chat", at, tag },
       view: { endedAt: 1_000 },
     })) as unknown as RequestTrace[];
-    const sends = [[1, 100], [2, 150], [3, 450]].map(([tag, at]) => ({
+    const attempts = [[1, 100], [2, 150], [3, 450]].map(([tag, at]) => ({
       tag,
       at,
     })) as never;
-    const stall = computeLongestStall({ traces, sends }, "chat");
+    const stall = computeLongestStall({ traces, attempts }, "chat");
     expect(stall).toEqual({ ms: 300, tag: 3 });
   });
 });
--- a/test/demo/promises_test.ts
+++ b/test/demo/guarantees_test.ts
@@ -1,13 +1,16 @@
 /**
- * The demo's comparison of what callers were told with what upstreams did.
+ * Tests of the demo's comparison of callers' outcomes with upstreams' work.
  *
  * @module
  */
 import { afterEach, beforeEach, describe, expect, it } from "vitest";
-import type { Account } from "../../demo/callers.ts";
+import type { RequestResult } from "../../demo/callers.ts";
 import { sendCall } from "../../demo/http_call.ts";
 import type { Outcome } from "../../demo/outcomes.ts";
-import { checkPromises, type PromiseReport } from "../../demo/promises.ts";
+import {
+  checkGuarantees,
+  type GuaranteeReport,
+} from "../../demo/guarantees.ts";
 import type { Expectation } from "../../demo/workload.ts";
 import { EngineServer } from "../../standin/engine_server.ts";
 import { ServiceServer } from "../../standin/service_server.ts";
@@ -23,8 +26,8 @@
 function check(
   outcome: Outcome,
   expected: Expectation = POST,
-): Promise<PromiseReport> {
-  const account: Account = {
+): Promise<GuaranteeReport> {
+  const result: RequestResult = {
     request: {
       number: 0,
       atMs: 0,
@@ -35,14 +38,14 @@
       body: undefined,
       expected,
       behaviour: "plain",
-      leaveAfterBytes: undefined,
+      abortAfterBytes: undefined,
     },
     requestId: "r1",
     port: 1,
     outcome,
   };
   const ports = { enginePorts: [engine.port], servicePorts: [service.port] };
-  return checkPromises(ports, [account]);
+  return checkGuarantees(ports, [result]);
 }
 
 function sendToService(method: string, path: string) {
@@ -50,7 +53,7 @@
   return sendCall({ port: service.port, method, path, headers });
 }
 
-describe("checkPromises", () => {
+describe("checkGuarantees", () => {
   beforeEach(async () => {
     engine = EngineServer.create();
     service = ServiceServer.create({ delayMs: 0 });
@@ -63,18 +66,18 @@
     await service.stop();
   });
 
-  it("finds lies and doubles at the service as they come about", async () => {
-    expect((await check(NOT_RUN)).broken).toEqual([]);
-    expect((await check(ANSWERED)).broken).toHaveLength(1);
+  it("detects false outcomes and repeated executions at the service", async () => {
+    expect((await check(NOT_RUN)).violations).toEqual([]);
+    expect((await check(ANSWERED)).violations).toHaveLength(1);
     await sendToService("GET", "/lookup/a");
-    expect((await check(NOT_RUN, LOOKUP)).broken).toHaveLength(1);
+    expect((await check(NOT_RUN, LOOKUP)).violations).toHaveLength(1);
     await sendToService("POST", "/holds");
-    expect((await check(ANSWERED)).broken).toEqual([]);
+    expect((await check(ANSWERED)).violations).toEqual([]);
     await sendToService("POST", "/holds");
-    expect((await check(ANSWERED)).broken).toHaveLength(1);
+    expect((await check(ANSWERED)).violations).toHaveLength(1);
   });
 
-  it("finds work that went on after its caller left", async () => {
+  it("detects work that continued after its caller disconnected", async () => {
     const body = {
       model: "m",
       messages: [{ role: "user", content: "[[tokens=2]]" }],
@@ -87,7 +90,7 @@
       body: JSON.stringify(body),
     });
     const report = await check({ kind: "cancelled" });
-    expect(report.broken).toHaveLength(1);
+    expect(report.violations).toHaveLength(1);
     expect(report.generatedTokens).toBe(2);
   });
 });
--- a/test/demo/outcomes_test.ts
+++ b/test/demo/outcomes_test.ts
@@ -1,10 +1,10 @@
 /**
- * The demo's own judgement: it must find what is wrong.
+ * Tests that the demo detects wrong answers.
  *
  * @module
  */
 import { describe, expect, it } from "vitest";
-import type { Account } from "../../demo/callers.ts";
+import type { RequestResult } from "../../demo/callers.ts";
 import type { HttpResult } from "../../demo/http_call.ts";
 import { renderOutcomes } from "../../demo/outcome_table.ts";
 import { checkAnswer, type Outcome } from "../../demo/outcomes.ts";
@@ -28,7 +28,10 @@
   return `data: ${JSON.stringify({ choices: [{ delta: { content } }] })}\n\n`;
 }
 
-function buildAccount(className: string, outcome: Outcome): Account {
+function buildRequestResult(
+  className: string,
+  outcome: Outcome,
+): RequestResult {
   const request: PlannedRequest = {
     number: 0,
     atMs: 0,
@@ -39,7 +42,7 @@
     body: undefined,
     expected: STREAMED,
     behaviour: "plain",
-    leaveAfterBytes: undefined,
+    abortAfterBytes: undefined,
   };
   return { request, requestId: "r1", port: 1, outcome };
 }
@@ -47,7 +50,7 @@
 describe("checkAnswer", () => {
   const done = "data: [DONE]\n\n";
 
-  it("takes a whole stream, and no other", () => {
+  it("accepts only a complete stream", () => {
     const check = (body: string) => checkAnswer(buildResult(body), STREAMED);
     const whole = formatEvent("a") + formatEvent("b");
     expect(check(whole + done).kind).toBe("answered");
@@ -57,7 +60,7 @@
     expect(check("{").kind).toBe("unaccounted");
   });
 
-  it("takes no answer without a request id or of another request", () => {
+  it("rejects an answer without a request id or with that of another request", () => {
     const lookup: Expectation = { kind: "lookup", body: "x" };
     const nameless = checkAnswer(buildResult("x", { headers: {} }), lookup);
     expect(nameless.kind).toBe("unaccounted");
@@ -70,7 +73,7 @@
       .toBe("unaccounted");
   });
 
-  it("takes a refusal only with its outcome", () => {
+  it("accepts a refusal only with a valid outcome", () => {
     const check = (error: unknown) =>
       checkAnswer(
         buildResult(JSON.stringify({ error }), { status: 503 }),
@@ -84,14 +87,18 @@
 });
 
 describe("renderOutcomes", () => {
-  it("counts each outcome once, and late answers as answered too", () => {
+  it("counts each outcome once, and late answers also as answered", () => {
     const table = renderOutcomes([
-      buildAccount("chat", { kind: "answered", totalMs: 5 }),
-      buildAccount("chat", { kind: "answered", totalMs: 50 }),
-      buildAccount("chat", { kind: "refused", outcome: "not_run", code: "x" }),
-      buildAccount("hold", { kind: "lost", outcome: "unknown" }),
-      buildAccount("hold", { kind: "unaccounted", why: "w" }),
-      buildAccount("hold", { kind: "cancelled" }),
+      buildRequestResult("chat", { kind: "answered", totalMs: 5 }),
+      buildRequestResult("chat", { kind: "answered", totalMs: 50 }),
+      buildRequestResult("chat", {
+        kind: "refused",
+        outcome: "not_run",
+        code: "x",
+      }),
+      buildRequestResult("hold", { kind: "lost", outcome: "unknown" }),
+      buildRequestResult("hold", { kind: "unaccounted", why: "w" }),
+      buildRequestResult("hold", { kind: "cancelled" }),
     ], new Map([["chat", 10]]));
     const rows = table.split("\n").map((line) => line.trim().split(/ +/));
     expect(rows).toEqual([
--- a/test/standin/engine_core_test.ts
+++ b/test/standin/engine_core_test.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-in engine's own behaviour, in virtual time.
+ * Tests of the stand-in engine in virtual time.
  *
  * @module
  */
@@ -13,7 +13,7 @@
 
 const SEED = 7;
 
-interface Heard {
+interface Received {
   text: string;
   end: string | undefined;
   endedAt: number;
@@ -43,41 +43,45 @@
 function startRun(
   { clock, engine }: { clock: VirtualClock; engine: EngineCore },
   change: Partial<EngineRequest> = {},
-): Heard {
-  const heard = { text: "", end: undefined as string | undefined, endedAt: 0 };
+): Received {
+  const received = {
+    text: "",
+    end: undefined as string | undefined,
+    endedAt: 0,
+  };
   const answer = engine.startRun(buildRequest(change), {
     onToken: (_index, text) => {
-      heard.text += text;
+      received.text += text;
     },
     onEnd: (end) => {
-      heard.end = end;
-      heard.endedAt = clock.now();
+      received.end = end;
+      received.endedAt = clock.now();
     },
   });
   if (answer.kind !== "accepted") throw new Error(answer.kind);
-  return Object.assign(heard, { run: answer.run });
+  return Object.assign(received, { run: answer.run });
 }
 
 describe("EngineCore", () => {
-  it("gives the same answer for a prompt, of the marked length", async () => {
+  it("generates the same answer for a prompt, of the requested length", async () => {
     const setup = createEngine();
-    const heard = startRun(setup);
+    const received = startRun(setup);
     await setup.clock.run(10_000);
-    expect(heard.end).toBe("stop");
-    expect(heard.run.record.tokens).toBe(20);
-    expect(heard.text).toBe(EngineAnswer.create(buildRequest()).getText());
+    expect(received.end).toBe("stop");
+    expect(received.run.record.tokens).toBe(20);
+    expect(received.text).toBe(EngineAnswer.create(buildRequest()).getText());
     const other = EngineAnswer.create(buildRequest({ prompt: "Other" }));
-    expect(other.getText()).not.toBe(heard.text);
+    expect(other.getText()).not.toBe(received.text);
   });
 
-  it("ends at the cap on tokens", async () => {
+  it("ends an answer at maxTokens", async () => {
     const setup = createEngine();
-    const heard = startRun(setup, { maxTokens: 5 });
+    const received = startRun(setup, { maxTokens: 5 });
     await setup.clock.run(10_000);
-    expect([heard.end, heard.run.record.tokens]).toEqual(["length", 5]);
+    expect([received.end, received.run.record.tokens]).toEqual(["length", 5]);
   });
 
-  it("slows with the batch and with the speed factor", async () => {
+  it("is slower with a larger batch or speed factor", async () => {
     const measure = async (count: number, speedFactor: number) => {
       const setup = createEngine({ speedFactor });
       const all = Array.from(
@@ -92,7 +96,7 @@
     expect(await measure(1, 3)).toBeCloseTo(3 * alone);
   });
 
-  it("runs no more than the batch holds, by priority", async () => {
+  it("runs at most maxBatch requests, by priority", async () => {
     const setup = createEngine({ maxBatch: 1 });
     const first = startRun(setup, { requestId: "first" });
     const low = startRun(setup, { requestId: "low", priority: 5 });
@@ -103,7 +107,7 @@
     expect(high.endedAt).toBeLessThan(low.endedAt);
   });
 
-  it("spares the prefill of cached prefixes and evicts the oldest", async () => {
+  it("skips the prefill of cached prefixes and evicts the least recently used", async () => {
     const setup = createEngine({
       cachedPrefixes: 2,
       tokensPerPrefix: 100,
@@ -124,7 +128,7 @@
     expect(changes).toEqual(["3 stored c", "4 evicted a"]);
   });
 
-  it("publishes cache events late and with gaps", async () => {
+  it("publishes cache events with a delay and loses some", async () => {
     const setup = createEngine({
       cacheEventDelayMs: 300,
       cacheEventGapShare: 0.5,
@@ -139,7 +143,7 @@
     expect(count).toBeLessThan(40);
   });
 
-  it("resumes byte for byte", async () => {
+  it("resumes an answer with identical bytes", async () => {
     const setup = createEngine();
     const whole = EngineAnswer.create(buildRequest());
     const resumeText = whole.getText(0, 7);
@@ -154,20 +158,20 @@
     expect(wrong.kind).toBe("bad_request");
   });
 
-  it("does no more work for a cancelled run", async () => {
+  it("stops the work of a cancelled run", async () => {
     const setup = createEngine();
-    const heard = startRun(setup);
+    const received = startRun(setup);
     await setup.clock.run(50);
-    heard.run.cancel();
-    const tokens = heard.run.record.tokens;
+    received.run.cancel();
+    const tokens = received.run.record.tokens;
     await setup.clock.run(10_000);
     expect(tokens).toBeGreaterThan(0);
     expect(tokens).toBeLessThan(20);
-    expect(heard.run.record.tokens).toBe(tokens);
+    expect(received.run.record.tokens).toBe(tokens);
     expect(setup.engine.counts).toMatchObject({ cancelled: 1, answered: 0 });
   });
 
-  it("puts the last run back when memory runs out, and ends it", async () => {
+  it("requeues the last run when memory is exhausted, and completes it later", async () => {
     const setup = createEngine({ memoryTokens: 45 });
     const first = startRun(setup, { requestId: "first" });
     const second = startRun(setup, { requestId: "second" });
@@ -177,7 +181,7 @@
     expect(second.text).toBe(first.text);
   });
 
-  it("reports its load with a lag", async () => {
+  it("reports its load with a delay", async () => {
     const setup = createEngine({ loadLagMs: 500 });
     await setup.clock.run(1_000);
     startRun(setup, { prompt: "[[tokens=1000]]" });
@@ -187,8 +191,8 @@
     expect(setup.engine.getLoad()).toMatchObject({ running: 1, ageMs: 500 });
   });
 
-  it("refuses an old fencing number only where it checks", () => {
-    const order = {
+  it("refuses an outdated fencing number only if it checks them", () => {
+    const command = {
       action: "role" as const,
       model: "",
       version: "",
@@ -196,20 +200,20 @@
       role: "decode",
       fencing: 5,
     };
-    const old = { ...order, role: "prefill", fencing: 4 };
+    const old = { ...command, role: "prefill", fencing: 4 };
     for (const fencing of ["checked", "ignored"] as const) {
       const { engine } = createEngine({ fencing, loadLagMs: 0 });
-      expect(engine.applyCommand(order)).toBe(true);
-      expect(engine.applyCommand(order)).toBe(true);
+      expect(engine.applyCommand(command)).toBe(true);
+      expect(engine.applyCommand(command)).toBe(true);
       expect(engine.applyCommand(old)).toBe(fencing === "ignored");
       const role = fencing === "checked" ? "decode" : "prefill";
       expect(engine.getLoad().role).toBe(role);
     }
   });
 
-  it("loads a model after a while and unloads it at once", async () => {
+  it("loads a model after loadModelMs and unloads it at once", async () => {
     const setup = createEngine({ models: [], loadModelMs: 100 });
-    const order = {
+    const command = {
       action: "load" as const,
       model: "m",
       version: "2",
@@ -219,19 +223,19 @@
     };
     const listener = { onToken: () => {}, onEnd: () => {} };
     const startOne = () => setup.engine.startRun(buildRequest(), listener).kind;
-    setup.engine.applyCommand(order);
+    setup.engine.applyCommand(command);
     expect(startOne()).toBe("not_started");
     await setup.clock.run(100);
     expect(startOne()).toBe("accepted");
     setup.engine.applyCommand({
-      ...order,
+      ...command,
       action: "unload",
       adapter: undefined,
     });
     expect(startOne()).toBe("not_started");
   });
 
-  it("crashes after so many tokens, stalls, and goes silent", async () => {
+  it("crashes after a number of tokens, stalls, and stops answering", async () => {
     const setup = createEngine();
     setup.engine.setCrashAfter(3);
     const crashed = startRun(setup);
--- a/test/standin/stand_in_servers_test.ts
+++ b/test/standin/stand_in_servers_test.ts
@@ -1,5 +1,5 @@
 /**
- * The stand-ins over HTTP: shapes, cancel, faults, watches.
+ * Tests of the stand-ins over HTTP: formats, cancel, faults and watches.
  *
  * @module
  */
@@ -57,7 +57,7 @@
 });
 
 describe("EngineServer", () => {
-  it("answers whole, and streams one event a token", async () => {
+  it("answers in one response, or streams one event per token", async () => {
     const base = await startStandIn(EngineServer.create(FAST_ENGINE));
     const whole = await (await sendChat(base)).json();
     expect(whole).toMatchObject({
@@ -71,13 +71,13 @@
         stream_options: { include_usage: true },
       }),
     );
-    // Twelve tokens, the finish reason, the usage and the last word.
+    // Twelve tokens, the finish reason, the usage and [DONE].
     expect(events).toHaveLength(15);
     expect(events[13]).toMatchObject({ choices: [], usage: {} });
     expect(events[14]).toBe("[DONE]");
   });
 
-  it("streams only the rest of a resumed answer", async () => {
+  it("returns only the remainder of a resumed answer", async () => {
     const base = await startStandIn(EngineServer.create(FAST_ENGINE));
     const whole = EngineAnswer.create({
       prompt: `user: ${PROMPT}`,
@@ -108,7 +108,7 @@
     expect(server.core.running).toBe(0);
   });
 
-  it("refuses with nothing done, cuts at a crash, comes back", async () => {
+  it("refuses without doing work, closes connections at a crash, and restarts", async () => {
     const base = await startStandIn(EngineServer.create(FAST_ENGINE));
     await sendControl(base, { refuse_next: 1 });
     const refused = await sendChat(base);
@@ -123,7 +123,7 @@
     expect((await sendChat(base)).status).toBe(200);
   });
 
-  it("answers load, cache events and orders as documented", async () => {
+  it("serves load, cache events and commands as documented", async () => {
     const options = { ...FAST_ENGINE, loadLagMs: 0, cacheEventDelayMs: 0 };
     const base = await startStandIn(
       EngineServer.create({ ...options, cacheEventGapShare: 0 }),
@@ -136,13 +136,13 @@
     expect(events).toEqual({
       events: [{ sequence: 2, prefix: "b", change: "stored" }],
     });
-    const sendOrder = (fencing: number) =>
+    const sendCommand = (fencing: number) =>
       fetch(`${base}/v1/orders`, {
         method: "POST",
         body: JSON.stringify({ action: "role", role: "decode", fencing }),
       });
-    expect((await sendOrder(3)).status).toBe(200);
-    expect((await sendOrder(2)).status).toBe(409);
+    expect((await sendCommand(3)).status).toBe(200);
+    expect((await sendCommand(2)).status).toBe(409);
     const load = await (await fetch(`${base}/v1/load`)).json();
     expect(load).toMatchObject({
       running: 0,
@@ -159,7 +159,7 @@
 });
 
 describe("ServiceServer", () => {
-  it("counts each hold by request id, whatever the answer", async () => {
+  it("counts executed holds by request id, even if the answer is lost", async () => {
     const server = ServiceServer.create();
     const base = await startStandIn(server);
     const hold = () =>
@@ -180,7 +180,7 @@
     expect(server.core.countExecutions("h1")).toBe(2);
   });
 
-  it("gives the same look-up twice", async () => {
+  it("answers a repeated look-up identically", async () => {
     const base = await startStandIn(ServiceServer.create());
     const texts = [];
     for (let round = 0; round < 2; round++) {
@@ -191,7 +191,7 @@
 });
 
 describe("PlatformServer", () => {
-  it("wakes a watch at a change and counts each call", async () => {
+  it("answers a watch at a change and counts each call", async () => {
     const server = PlatformServer.create();
     const base = await startStandIn(server);
     server.core.addVersion({ policy: [{ kind: "policy" }] });
@@ -209,7 +209,7 @@
     expect(server.core.calls).toBe(4);
   });
 
-  it("can be stale and down", async () => {
+  it("serves a stale list or closes connections under an injected fault", async () => {
     const server = PlatformServer.create();
     const base = await startStandIn(server);
     server.core.addList([{ id: "a" }]);
--- a/vitest.config.ts
+++ b/vitest.config.ts
@@ -1,5 +1,5 @@
 /**
- * Which files hold tests, and how long one may take.
+ * Test files and time limits.
  *
  * @module
  */
@@ -12,7 +12,7 @@
   "test/soak/soak_test.ts",
 ];
 
-// Vitest reads its settings from a default export and nothing else.
+// Vitest reads its configuration only from the default export.
 export default defineConfig({
   test: {
     testTimeout: TEST_TIMEOUT_MS,
@@ -24,7 +24,7 @@
           name: "modules",
           include: ["test/**/*_test.ts"],
           exclude: PROCESS_TESTS,
-          // Other work may share the machine.
+          // Limited, because the machine may be shared.
           maxWorkers: 4,
           sequence: { groupOrder: 0 },
         },
@@ -37,8 +37,8 @@
           globalSetup: "test/support/daemon_build_setup.ts",
           testTimeout: PROCESS_TIMEOUT_MS,
           hookTimeout: PROCESS_TIMEOUT_MS,
-          // Each test starts several daemons: one file at a time, after the
-          // others, so that their timers run on a calm machine.
+          // Each test starts several daemons. Their files run one at a time,
+          // after all others, so that load does not delay the daemons' timers.
           maxWorkers: 1,
           fileParallelism: false,
           sequence: { groupOrder: 1 },
