--- a/src/connection/caller_listener.ts
+++ b/src/connection/caller_listener.ts
@@ -28,7 +28,7 @@
 /** Limits on callers. */
 export interface CallerLimits extends ServerLimits {
   maxBodyBytes: number;
-  /** A caller that reads nothing of its answer for this long is disconnected. */
+  /** A caller that has not read the pending bytes by then is disconnected. */
   writeTimeoutMs: number;
 }
 
@@ -71,7 +71,10 @@
     return new CallerListener(options);
   }
 
-  /** Applies `limits` from now on, but not to header size and connections. */
+  /**
+   * Applies `limits` to later requests, but for the limits on header size and
+   * number of connections, which stay as they were at the start.
+   */
   updateLimits(limits: CallerLimits): void {
     this.#limits = limits;
     this.updateTimeouts(limits);
--- a/src/connection/http_listener.ts
+++ b/src/connection/http_listener.ts
@@ -46,7 +46,7 @@
 
   /**
    * Stops accepting connections, closes idle ones, and resolves when the last
-   * request in flight is answered. It has no timeout: call `closeAll` to end it.
+   * request in flight is answered. There is no timeout: call `closeAll` to cancel the remaining requests.
    */
   stop(): Promise<void> {
     return this.#server.stop();
--- a/src/connection/http_server.ts
+++ b/src/connection/http_server.ts
@@ -42,7 +42,7 @@
   limits: ServerLimits;
   tls?: ServerTls | undefined;
   handle: HandleExchange;
-  /** Builds extra headers for requests that cannot be parsed. */
+  /** Builds extra headers of answers to requests that cannot be parsed. */
   buildHeaders?: () => Record<string, string>;
 }
 
--- a/src/connection/http_sink.ts
+++ b/src/connection/http_sink.ts
@@ -8,12 +8,12 @@
 import { CallerSink } from "../request/caller_sink.ts";
 
 const RESOLVED = Promise.resolve();
-const LAST_CHUNK_FLUSHED = "last_part_out";
+const LAST_CHUNK_FLUSHED = "last_chunk_flushed";
 
 /** Options of `HttpSink`. */
 export interface HttpSinkOptions {
   clock: Clock;
-  /** A caller that reads nothing for this long is disconnected. */
+  /** A caller that has not read the pending bytes by then is disconnected. */
   writeTimeoutMs: number;
   onWriteTimeout?: () => void;
 }
--- a/src/connection/json_body.ts
+++ b/src/connection/json_body.ts
@@ -65,10 +65,10 @@
 }
 
 /**
- * Checks nesting depth, number of keys and duplicate keys. `JSON.parse` accepts
- * any depth and keeps the last of two equal keys, so that the router's checks
- * and an upstream could read different values. Runs before `JSON.parse`; invalid
- * JSON may pass this check, but then fails there.
+ * Checks nesting depth, number of keys and duplicate keys before `JSON.parse`,
+ * which would build a nesting of any depth in memory and keep only the last of
+ * two equal keys, so that the router's checks and an upstream could read
+ * different values. Invalid JSON may pass this check, but then fails to parse.
  */
 function checkStructure(text: string, limits: JsonLimits): void {
   // The keys of each open object; undefined for an open array.
--- a/src/connection/peer_client.ts
+++ b/src/connection/peer_client.ts
@@ -15,7 +15,7 @@
 import type { SuspectEntry } from "../process/quarantine/index.ts";
 import { PeerApi, PeerDirectory } from "../process/peer_api.ts";
 import type { PeerCallContext } from "./peer_link.ts";
-import { createPeerLink, PeerDeadlineError } from "./peer_link.ts";
+import { createPeerLink, PeerTimeoutError } from "./peer_link.ts";
 import type { PeerRouter } from "./peer_router.ts";
 import { PEER_SECRET_HEADER } from "./peer_listener.ts";
 import type { ClientTls } from "./tls_material.ts";
@@ -238,7 +238,7 @@
       return answer as T;
     } catch (thrown) {
       const cause = toError(thrown);
-      const isTimeout = cause.cause instanceof PeerDeadlineError;
+      const isTimeout = cause.cause instanceof PeerTimeoutError;
       throw new StepError(
         { step, peer: this.#vm, cause },
         isTimeout ? "Call to the VM timed out" : "Call to the VM failed",
--- a/src/connection/peer_link.ts
+++ b/src/connection/peer_link.ts
@@ -39,10 +39,10 @@
 }
 
 /** A call timed out. */
-export class PeerDeadlineError extends Error {
+export class PeerTimeoutError extends Error {
   constructor() {
     super("Call to the VM timed out");
-    this.name = "PeerDeadlineError";
+    this.name = "PeerTimeoutError";
   }
 }
 
@@ -60,7 +60,7 @@
       const request = openRequest(op.path, options);
       const cancelTimer = options.clock.startTimer(timeoutMs, () => {
         options.onTimeout();
-        request.destroy(new PeerDeadlineError());
+        request.destroy(new PeerTimeoutError());
       });
       const fail = (thrown: unknown) => {
         cancelTimer();
--- a/src/connection/sse_frames.ts
+++ b/src/connection/sse_frames.ts
@@ -29,7 +29,7 @@
   readonly #maxEventBytes: number;
   #pending: Buffer = Buffer.alloc(0);
   #pendingLength = 0;
-  /** Offset in the pending bytes to resume the search for a blank line at. */
+  /** Offset in the pending bytes from which to search for a blank line. */
   #searchFrom = 0;
   #hasDone = false;
 
--- a/src/connection/upstream_transport.ts
+++ b/src/connection/upstream_transport.ts
@@ -75,10 +75,10 @@
   readonly mayHaveRun: boolean;
 
   constructor(
-    place: ErrorContext,
+    context: ErrorContext,
     options: { kind: UpstreamErrorKind; mayHaveRun: boolean; message: string },
   ) {
-    super(place, options.message);
+    super(context, options.message);
     this.name = "UpstreamError";
     this.kind = options.kind;
     this.mayHaveRun = options.mayHaveRun;
--- a/src/request/answer_reader.ts
+++ b/src/request/answer_reader.ts
@@ -21,7 +21,9 @@
   let bytes = 0;
   for await (const chunk of body) {
     bytes += chunk.length;
-    if (bytes > maxBytes) throw BrokenAnswerError.create("Answer is too large");
+    if (bytes > maxBytes) {
+      throw BrokenAnswerError.create("Answer exceeds the size limit");
+    }
     chunks.push(chunk);
   }
   return Buffer.concat(chunks, bytes);
--- a/src/request/attempt_progress.ts
+++ b/src/request/attempt_progress.ts
@@ -49,7 +49,7 @@
   }
 
   /** Counts the tokens of a buffered answer, which have no token times. */
-  noteWholeAnswer(count: number): void {
+  noteBufferedAnswer(count: number): void {
     this.#tokens += count;
   }
 
--- a/src/request/attempts.ts
+++ b/src/request/attempts.ts
@@ -34,7 +34,7 @@
   | { kind: "answered" }
   | { kind: "cancelled" }
   /** The lease expired before anything was sent. */
-  | { kind: "lapsed" }
+  | { kind: "expired" }
   | { kind: "preempted" }
   /** `crashCheck` resolves once it is known whether the replica crashed. */
   | { kind: "failed"; failure: AttemptFailure; crashCheck: Promise<void> };
@@ -62,7 +62,7 @@
       return;
     }
     if (result.kind === "cancelled") throw createCancelled(execution);
-    if (result.kind === "lapsed") continue;
+    if (result.kind === "expired") continue;
     if (result.kind === "preempted") {
       checkCanContinue(
         execution,
@@ -198,7 +198,7 @@
       upstream: lease.upstream,
       freshConnection: !execution.options.idempotent,
       timeouts: {
-        ...computeLimits(execution, work),
+        ...computeTimeouts(execution, work),
         canExtendTimeout: () => isWorthWaiting(execution, work, lease),
       },
       signal: cancel.signal,
@@ -253,7 +253,7 @@
     peer: lease.upstream,
     detail: "The lease expired before the work was sent",
   });
-  return { kind: "lapsed" };
+  return { kind: "expired" };
 }
 
 function handleFailure(
@@ -290,17 +290,17 @@
   return { kind: "failed", failure, crashCheck };
 }
 
-function computeLimits(
+function computeTimeouts(
   execution: RequestExecution,
   work: UpstreamWork,
 ): CallTimeouts {
   const leftMs = execution.deadlineAt -
     execution.services.environment.clock.now();
-  const limits = work.computeTimeouts(leftMs);
-  if (execution.options.requestClass.lateIsUseful) return limits;
+  const timeouts = work.computeTimeouts(leftMs);
+  if (execution.options.requestClass.lateIsUseful) return timeouts;
   return {
-    ...limits,
-    firstByteMs: Math.max(1, Math.min(limits.firstByteMs, leftMs)),
+    ...timeouts,
+    firstByteMs: Math.max(1, Math.min(timeouts.firstByteMs, leftMs)),
   };
 }
 
--- a/src/request/completion_buffered_work.ts
+++ b/src/request/completion_buffered_work.ts
@@ -54,8 +54,8 @@
       );
     }
     const tokens = answer.usage?.completion_tokens ?? 0;
-    options.progress.noteWholeAnswer(tokens);
-    execution.noteWholeAnswer(tokens);
+    options.progress.noteBufferedAnswer(tokens);
+    execution.noteBufferedAnswer(tokens);
   }
 }
 
--- a/src/request/completion_task.ts
+++ b/src/request/completion_task.ts
@@ -18,7 +18,9 @@
 /** Output tokens charged to the rate limit until the real count is known. */
 const EXPECTED_OUTPUT_TOKENS = 256;
 
-/** Runs a completion; throws `RefusalError` before an execution has started. */
+/**
+ * Runs a completion. Throws `RefusalError` only if no execution was started.
+ */
 export async function runCompletion(
   services: RequestServices,
   options: { request: CallerRequest; sink: CallerSink; snapshot: Snapshot },
--- a/src/request/request_execution.ts
+++ b/src/request/request_execution.ts
@@ -42,7 +42,7 @@
   idempotent: boolean;
   /** Whether the claim on the id is still valid; checked before each send. */
   isClaimValid: () => boolean;
-  /** Whether the caller may resubmit the id and so needs the answer kept. */
+  /** Whether to retain the answer, because the caller may resubmit the id. */
   retainsAnswer: boolean;
   /** `Clock.now()` at the caller's deadline, if before the class's target. */
   deadlineAt?: number;
@@ -155,7 +155,7 @@
   }
 
   /** Counts the tokens of a buffered answer, which have no token times. */
-  noteWholeAnswer(count: number): void {
+  noteBufferedAnswer(count: number): void {
     this.noteRan();
     this.tokens += count;
   }
--- a/src/request/request_services.ts
+++ b/src/request/request_services.ts
@@ -23,7 +23,7 @@
 /** The process-wide services that every request uses. */
 export interface RequestServices {
   environment: LocalEnvironment;
-  /** The configuration in force; undefined until there is one. */
+  /** The active configuration; undefined until there is one. */
   getSnapshot: () => Snapshot | undefined;
   leases: LeaseSource;
   limits: LimitSource;
--- a/src/request/resubmission.ts
+++ b/src/request/resubmission.ts
@@ -50,8 +50,8 @@
       );
     })
     .with({ kind: "unreachable" }, ({ issuer, why }) => {
-      // If this VM issued the id, it was an earlier process of it, whose claims
-      // are lost for good.
+      // If this VM is the issuer, an earlier process of it issued the id, and
+      // the claims of that process are lost for good.
       const mayAnswerLater = issuer !== services.environment.vm;
       throw createUnknown(
         `VM ${issuer}, the issuer of the request id, cannot answer: ${why}`,
--- a/src/request/router.ts
+++ b/src/request/router.ts
@@ -67,7 +67,7 @@
       })
       .with({ kind: "models" }, () => this.#writeModels(exchange))
       .with({ kind: "issue_id" }, () => this.#writeNewId(exchange))
-      .with({ kind: "fate" }, ({ requestId }) => {
+      .with({ kind: "request_status" }, ({ requestId }) => {
         return this.#writeStatus(requestId, exchange);
       })
       .with({ kind: "completion" }, () => {
@@ -88,7 +88,7 @@
       .exhaustive();
   }
 
-  /** The configuration in force, which the request uses to its end. */
+  /** The active configuration, which the request uses to its end. */
   #getSnapshot(): Snapshot {
     const snapshot = this.#services.getSnapshot();
     if (snapshot !== undefined) return snapshot;
--- a/src/request/routes.ts
+++ b/src/request/routes.ts
@@ -14,7 +14,7 @@
   | { kind: "entries" }
   | { kind: "models" }
   | { kind: "issue_id" }
-  | { kind: "fate"; requestId: RequestId }
+  | { kind: "request_status"; requestId: RequestId }
   | { kind: "completion"; path: string }
   /** `path` is the path after the pool's name, as sent. */
   | { kind: "service"; pool: PoolName; path: string }
@@ -37,7 +37,7 @@
   const id = method === "GET" ? STATUS_PATTERN.exec(path)?.[1] : undefined;
   const requestId = decodePart(id);
   if (requestId !== undefined) {
-    return { kind: "fate", requestId: toId<RequestId>(requestId) };
+    return { kind: "request_status", requestId: toId<RequestId>(requestId) };
   }
   const service = SERVICE_PATTERN.exec(path);
   const pool = decodePart(service?.[1]);
--- a/src/request/service_task.ts
+++ b/src/request/service_task.ts
@@ -21,7 +21,7 @@
   path: string;
 }
 
-/** Runs a call; throws `RefusalError` before an execution has started. */
+/** Runs a call. Throws `RefusalError` only if no execution was started. */
 export async function runService(
   services: RequestServices,
   options: { request: CallerRequest; sink: CallerSink; snapshot: Snapshot },
--- a/src/request/upstream_signals.ts
+++ b/src/request/upstream_signals.ts
@@ -18,7 +18,7 @@
    * upstream sets no limit, undefined if the answer does not say.
    */
   requestsPerS: number | undefined;
-  /** Whether the upstream is shutting down and accepts no new work. */
+  /** Whether the upstream is shutting down and will accept no more work. */
   isLeaving: boolean;
   /**
    * Time during which the upstream, which refused the request, wants no more
--- a/standin/http_stand_in.ts
+++ b/standin/http_stand_in.ts
@@ -124,7 +124,9 @@
   let size = 0;
   for await (const part of request as AsyncIterable<Buffer>) {
     size += part.length;
-    if (size > MAX_BODY_BYTES) throw new Error("The request body is too large");
+    if (size > MAX_BODY_BYTES) {
+      throw new Error("Request body exceeds the size limit");
+    }
     parts.push(part);
   }
   return Buffer.concat(parts);
--- a/standin/virtual_fleet.ts
+++ b/standin/virtual_fleet.ts
@@ -121,7 +121,7 @@
     this.vms.delete(vm);
   }
 
-  /** Lists the configuration version in force on each VM. */
+  /** Lists the active configuration version of each VM. */
   listVersions(): number[] {
     return this.list().map((vm) => vm.follower.getVersions().configVersion);
   }
--- a/test/connection/sse_frames_test.ts
+++ b/test/connection/sse_frames_test.ts
@@ -90,8 +90,8 @@
   );
 
   it("throws for an event over the limit, in one or many chunks", () => {
-    const whole = SseFramer.create({ maxEventBytes: 100 });
-    expect(() => whole.push(Buffer.alloc(101, "a"))).toThrow(StepError);
+    const single = SseFramer.create({ maxEventBytes: 100 });
+    expect(() => single.push(Buffer.alloc(101, "a"))).toThrow(StepError);
     const pieces = SseFramer.create({ maxEventBytes: 100 });
     for (let count = 0; count < 100; count += 1) pieces.push(Buffer.from("a"));
     expect(() => pieces.push(Buffer.from("a"))).toThrow(StepError);
--- a/test/standin/engine_core_test.ts
+++ b/test/standin/engine_core_test.ts
@@ -145,11 +145,11 @@
 
   it("resumes an answer with identical bytes", async () => {
     const setup = createEngine();
-    const whole = EngineAnswer.create(buildRequest());
-    const resumeText = whole.getText(0, 7);
+    const complete = EngineAnswer.create(buildRequest());
+    const resumeText = complete.getText(0, 7);
     const rest = startRun(setup, { resumeTokens: 7, resumeText });
     await setup.clock.run(10_000);
-    expect(resumeText + rest.text).toBe(whole.getText());
+    expect(resumeText + rest.text).toBe(complete.getText());
     expect(rest.run.record.tokens).toBe(13);
     const wrong = setup.engine.startRun(
       buildRequest({ resumeTokens: 7, resumeText: "other" }),
--- a/test/standin/stand_in_servers_test.ts
+++ b/test/standin/stand_in_servers_test.ts
@@ -12,7 +12,7 @@
 
 const FAST_ENGINE = { baseMs: 1, perRunningMs: 0, prefillMsPerToken: 0 };
 const PROMPT = "Žádost [[tokens=12]]";
-const WHOLE = EngineAnswer.create({
+const COMPLETE_TEXT = EngineAnswer.create({
   prompt: `user: ${PROMPT}`,
   model: "m",
   maxTokens: 100,
@@ -59,10 +59,10 @@
 describe("EngineServer", () => {
   it("answers in one response, or streams one event per token", async () => {
     const base = await startStandIn(EngineServer.create(FAST_ENGINE));
-    const whole = await (await sendChat(base)).json();
-    expect(whole).toMatchObject({
+    const complete = await (await sendChat(base)).json();
+    expect(complete).toMatchObject({
       id: "r1",
-      choices: [{ message: { content: WHOLE }, finish_reason: "stop" }],
+      choices: [{ message: { content: COMPLETE_TEXT }, finish_reason: "stop" }],
       usage: { completion_tokens: 12 },
     });
     const events = await readEvents(
@@ -79,18 +79,18 @@
 
   it("returns only the remainder of a resumed answer", async () => {
     const base = await startStandIn(EngineServer.create(FAST_ENGINE));
-    const whole = EngineAnswer.create({
+    const complete = EngineAnswer.create({
       prompt: `user: ${PROMPT}`,
       model: "m",
       maxTokens: 100,
     });
     const resumed = await sendChat(
       base,
-      { resume_text: whole.getText(0, 5) },
+      { resume_text: complete.getText(0, 5) },
       { headers: { "x-resume-tokens": "5" } },
     );
     expect(await resumed.json()).toMatchObject({
-      choices: [{ message: { content: whole.getText(5) } }],
+      choices: [{ message: { content: complete.getText(5) } }],
       usage: { completion_tokens: 12 },
     });
   });
@@ -116,8 +116,8 @@
     expect(await refused.json())
       .toMatchObject({ error: { code: "not_started" } });
     await sendControl(base, { crash_after_tokens: 4 });
-    const cut = await sendChat(base, { stream: true });
-    await expect(cut.text()).rejects.toThrow();
+    const truncated = await sendChat(base, { stream: true });
+    await expect(truncated.text()).rejects.toThrow();
     await expect(sendChat(base)).rejects.toThrow();
     await sendControl(base, { start_again: true });
     expect((await sendChat(base)).status).toBe(200);
