--- a/test/ci/judge_test.ts
+++ b/test/ci/judge_test.ts
@@ -57,7 +57,7 @@
   expect(status).toBe(0);
 });
 
-test("fails on a failed test, and names it", () => {
+test("fails on a failed test, and prints its name", () => {
   const { status, lines } = runJudge({
     tests: [["x", "passed"], ["y z", "failed"]],
   });
@@ -65,7 +65,7 @@
   expect(status).toBe(1);
 });
 
-test("passes over exactly the tests that are known red, and prints them", () => {
+test("tolerates exactly the tests listed as known red, and prints them", () => {
   const known = ["a_test.ts > y z | a lease is lost | 4"];
   const tests: Run["tests"] = [["x", "passed"], ["y z", "failed"]];
   const listed = runJudge({ tests, known });
@@ -94,18 +94,16 @@
   ).toBe(1);
 });
 
-// Symptom: CI is green though a whole file of tests never ran. Sequence: the
-// file fails to load, so it has no tests and none of them fails. Cause: only
-// failed tests were counted.
+// Guards against green CI although a whole test file never ran: a file that
+// fails to load has no tests, so a count of failed tests misses it.
 test("fails where a file does not load", () => {
   const run = runJudge({ tests: [["x", "passed"]], hasBrokenFile: true });
   expect(run.lines).toContain("failed: b_test.ts > (whole file)");
   expect(run.status).toBe(1);
 });
 
-// Symptom: CI is green though the code throws outside of any test. Sequence: a
-// known red test fails, which explains vitest's status, and beside it an error
-// is not handled. Cause: the status alone cannot tell the two apart.
+// Guards against green CI although code throws outside of any test: vitest's
+// exit status is the same for a known red test and for an unhandled error.
 test("fails on an unhandled error beside a known red test", () => {
   const run = runJudge({
     tests: [["x", "passed"], ["y", "failed"]],
@@ -116,7 +114,7 @@
   expect(run.status).toBe(1);
 });
 
-test("fails where no test ran, and says which were skipped", () => {
+test("fails where no test ran, and lists the skipped ones", () => {
   const run = runJudge({ tests: [["x", "skipped"]] });
   expect(run.lines).toContain("not run: a_test.ts > x");
   expect(run.status).toBe(1);
--- a/test/docs/failures_page_test.ts
+++ b/test/docs/failures_page_test.ts
@@ -1,9 +1,6 @@
 /**
- * Symptom: the page on failures names a test that is gone, or leaves one out.
- *
- * Sequence: a test file is added, renamed or removed.
- *
- * Cause: nothing ties the page to the files.
+ * Guards against a failures page that links a removed test or omits one, when a
+ * test file is added, renamed or removed.
  *
  * @module
  */
@@ -20,11 +17,11 @@
 const links = [...readFileSync(PAGE, "utf8").matchAll(LINK)]
   .map((match) => join(dirname(PAGE), match[1]!));
 
-it("names files that are there", () => {
+it("links only files that exist", () => {
   expect(links.filter((file) => !existsSync(file))).toEqual([]);
 });
 
-it("names every test of a failure", () => {
+it("links every failure test", () => {
   const files = FOLDERS.flatMap((folder) =>
     readdirSync(join(ROOT, folder))
       .filter((name) => name.endsWith("_test.ts"))
--- a/test/docs/platform_names_test.ts
+++ b/test/docs/platform_names_test.ts
@@ -1,9 +1,7 @@
 /**
- * Symptom: a name of the users' platform has to be changed in two places.
- *
- * Sequence: code of the product uses a header, key or field of the platform.
- *
- * Cause: nothing keeps the platform's names in their folder.
+ * Guards against names of the users' platform (headers, keys, fields) in the
+ * product's code: they belong in the platform folder alone, so that a change of
+ * one is made in one place.
  *
  * @module
  */
@@ -28,7 +26,7 @@
   ].join("|"),
   "i",
 );
-const MOST_LINES = 1_500;
+const MAX_LINES = 1_500;
 
 function listFiles(folder: string): string[] {
   return readdirSync(join(ROOT, folder), { recursive: true })
@@ -40,7 +38,7 @@
   return readFileSync(join(ROOT, file), "utf8").split("\n");
 }
 
-it("the platform's names stand in its folder alone", () => {
+it("the platform's names appear only in its folder", () => {
   const found = listFiles("src").flatMap((file) =>
     readLines(file)
       .map((line, at) => `${file}:${at + 1}: ${line.trim()}`)
@@ -53,5 +51,5 @@
   const files = listFiles("platform");
   const lines = files.reduce((sum, file) => sum + readLines(file).length, 0);
   expect(files.length).toBeGreaterThan(0);
-  expect(lines).toBeLessThan(MOST_LINES);
+  expect(lines).toBeLessThan(MAX_LINES);
 });
--- a/test/failures/execution_elsewhere_after_refusal_test.ts
+++ b/test/failures/execution_elsewhere_after_refusal_test.ts
@@ -1,15 +1,10 @@
 /**
- * Symptom: `GET /v1/requests/ID` said "not_run" of a slot hold that its caller
- * had the whole answer of.
- *
- * Sequence: a caller took an id at VM a and submitted it there; VM a refused it
- * (its limit was spent), truthfully not run, and gave the id back. The caller
- * submitted it again at VM b, which ran it. Asked for its fate, VM a told of
- * its own refusal.
- *
- * Cause: a VM that had any record of a request answered from that record. A
- * refused run gives the id back, so its record is not the last word: only the
- * VM that issued the id knows who holds it since.
+ * Guards against `GET /v1/requests/ID` reporting "not_run" for a slot hold that
+ * was answered. VM a issues the id and refuses the request (its limit was
+ * spent), correctly as not run, which releases the claim; the caller resubmits
+ * it to VM b, which runs it. VM a must not report its own refusal: a refused
+ * execution releases the claim, so only the VM that issued the id knows who has
+ * claimed it since.
  */
 import { expect, it } from "vitest";
 import type { RequestId } from "../../src/ids.ts";
@@ -20,7 +15,7 @@
 
 const clock = VirtualClock.create();
 
-it("tells of the run elsewhere at the VM that refused and issued it", async () => {
+it("reports the execution elsewhere on the VM that issued and refused it", async () => {
   const { a, b, c } = buildVms();
   const id = a.claims.issueId();
   await runAt(a, id, "not_run");
@@ -30,7 +25,7 @@
   }
 });
 
-it("tells of the run elsewhere at another VM that refused it", async () => {
+it("reports the execution elsewhere on another VM that refused it", async () => {
   const { a, b, c } = buildVms();
   const id = a.claims.issueId();
   await runAt(b, id, "not_run");
@@ -40,14 +35,14 @@
   }
 });
 
-it("still tells not_run where nobody ran it since", async () => {
+it("reports not_run where no VM has run it since", async () => {
   const { a, b } = buildVms();
   const id = a.claims.issueId();
   await runAt(b, id, "not_run");
   expect(await findOutcome(b, id)).toBe("not_run");
 });
 
-it("does not tell not_run once the issuer has forgotten", async () => {
+it("does not report not_run once the issuer has lost its state", async () => {
   const { a, b, c, peers } = buildVms();
   const id = a.claims.issueId();
   await runAt(b, id, "not_run");
@@ -75,8 +70,8 @@
 ): Promise<void> {
   const claim = await vm.claims.claimExecution(id);
   expect(claim.kind).toBe("granted");
-  vm.fates.start(buildRunningStatus(id));
-  vm.fates.end(id, { outcome, code: undefined, tokens: 0 });
+  vm.requestStatuses.start(buildRunningStatus(id));
+  vm.requestStatuses.end(id, { outcome, code: undefined, tokens: 0 });
   vm.claims.settleExecution(id, outcome);
   await clock.run(1);
 }
--- a/test/failures/fleet_half_replaced_test.ts
+++ b/test/failures/fleet_half_replaced_test.ts
@@ -1,12 +1,8 @@
 /**
- * Symptom: after half of the VMs were replaced, keys of callers that were
- * removed long ago work again, or the new VMs serve nothing.
- *
- * Sequence: half of the VMs end at one moment; new ones with new names start
- * with empty memories while the service is stale or down.
- *
- * Cause: new VMs that know neither the version nor each other. They get the
- * version and the list from the peers that are left.
+ * Guards against removed caller keys that work again, and against new VMs that
+ * serve nothing, after half of the VMs were replaced while the configuration
+ * service is stale or down. The new VMs start without any state: they must get
+ * the version and the membership list from the remaining peers.
  *
  * @module
  */
@@ -24,7 +20,7 @@
 const KEY = "pool/0";
 const HALF = 4;
 
-/** Ends the first half and starts as many VMs under new names. */
+/** Stops the first half and starts as many VMs under new names. */
 function replaceHalf(fleet: VirtualFleet): number[][] {
   const old = fleet.list().map((vm) => vm.listed);
   for (const { id } of old.slice(0, HALF)) fleet.stopVm(id);
@@ -38,7 +34,7 @@
   });
 }
 
-it("the new half has the version that the old one had", async () => {
+it("new VMs apply the version of the remaining half", async () => {
   const fleet = await startFleet({ count: 2 * HALF }, 5);
   fleet.service.putVersion(3, buildRecords(3));
   const recorded = replaceHalf(fleet);
@@ -50,13 +46,13 @@
     .toEqual(Array(2 * HALF).fill(2));
 });
 
-it("the new half serves while the service is down", async () => {
+it("new VMs serve while the service is down", async () => {
   const fleet = await startFleet({ count: 2 * HALF }, 5);
   fleet.service.isDown = true;
   replaceHalf(fleet);
   await fleet.runUntil(() => isEverywhere(fleet, 5), 5_000);
-  // The list is older than the new VMs: they are callers' entries already,
-  // and owners once the service gives the new list.
+  // The list is older than the new VMs: they already serve callers as entry
+  // VMs, and become owners once the service publishes the new list.
   const owners = listOwners(fleet, KEY);
   expect(owners.size).toBeLessThanOrEqual(2);
   fleet.service.isDown = false;
--- a/test/failures/fleet_split_test.ts
+++ b/test/failures/fleet_split_test.ts
@@ -1,13 +1,8 @@
 /**
- * Symptom: after a network fault two halves of the fleet ignore each other for
- * good, or one half goes back to an older configuration.
- *
- * Sequence: the network splits the fleet; one side reaches the service and gets
- * new versions; the link is mended.
- *
- * Cause: VMs held for dead that nobody ever probes again, and versions that are
- * compared with nothing after the split. Dead VMs are probed now and then, and
- * the higher version wins.
+ * Guards against a network partition that outlives the fault, and against one
+ * side that reverts to an older configuration. During the partition one side
+ * reaches the service and gets new versions. Afterwards the fleet recovers only
+ * if dead VMs are still probed occasionally and the higher version wins.
  *
  * @module
  */
@@ -29,7 +24,7 @@
   return Array.from({ length: to - from }, (_, index) => toVmId(from + index));
 }
 
-function isWhole(fleet: VirtualFleet): boolean {
+function isConnected(fleet: VirtualFleet): boolean {
   const ids = fleet.list().map((vm) => vm.listed.id);
   return fleet.list().every((vm) =>
     ids.every((id) => vm.membership.isReachable(id))
@@ -37,7 +32,7 @@
 }
 
 for (const [size, cutAt] of [[8, 4], [8, 1], [32, 10]] as const) {
-  it(`${cutAt} of ${size} VMs come together again`, async () => {
+  it(`${cutAt} of ${size} VMs rejoin the fleet after a partition`, async () => {
     const fleet = await startFleet({ count: size });
     const left = listIds(0, cutAt);
     const right = listIds(cutAt, size);
@@ -55,7 +50,7 @@
     expect(new Set(rightOwners).size).toBe(1);
     expect(left).toContain(leftOwners[0]);
     expect(right).toContain(rightOwners[0]);
-    // Orders go by the published list and a fresh view of it only.
+    // Engine commands require a recent view of the published list.
     for (const vm of left) {
       const { membership } = fleet.vms.get(vm)!;
       expect(membership.getViewAgeMs()).toBeGreaterThan(20_000);
@@ -67,22 +62,22 @@
     fleet.service.putVersion(2, buildRecords(2));
     await fleet.clock.run(10_000);
     fleet.network.heal();
-    const took = await fleet.runUntil(
-      () => isWhole(fleet) && isEverywhere(fleet, 2),
+    const elapsedMs = await fleet.runUntil(
+      () => isConnected(fleet) && isEverywhere(fleet, 2),
       60_000,
     );
-    expect(took).toBeLessThan(15_000);
+    expect(elapsedMs).toBeLessThan(15_000);
     expect(listOwners(fleet, KEY).size).toBe(1);
     expect(recorded.every((one) => one.join() === "2")).toBe(true);
   });
 }
 
-it("both sides serve on when neither reaches the service", async () => {
+it("both sides keep serving when neither reaches the service", async () => {
   const fleet = await startFleet({ count: 8 });
   fleet.service.isDown = true;
   fleet.network.cutBetween(listIds(0, 4), listIds(4, 8));
   await fleet.clock.run(60_000);
   expect(isEverywhere(fleet, 1)).toBe(true);
   fleet.network.heal();
-  await fleet.runUntil(() => isWhole(fleet), 15_000);
+  await fleet.runUntil(() => isConnected(fleet), 15_000);
 });
--- a/test/failures/message_replayed_test.ts
+++ b/test/failures/message_replayed_test.ts
@@ -1,12 +1,8 @@
 /**
- * Symptom: a VM goes back to an older configuration, or holds a VM for dead that
- * answers.
- *
- * Sequence: messages are lost, arrive twice, or a recorded old answer is given
- * again much later.
- *
- * Cause: taking what comes last for what is newest. Versions, revisions and
- * counters only ever go up.
+ * Guards against a VM that reverts to an older configuration, or considers a
+ * responding VM dead, when messages are lost, duplicated or replayed much
+ * later. The last message to arrive is not always the newest: versions,
+ * revisions and counters must only increase.
  *
  * @module
  */
@@ -20,14 +16,14 @@
   toVmId,
 } from "../support/fleet_steps.ts";
 
-it("versions only go up under loss, duplicates and delay", async () => {
+it("versions only increase under loss, duplicates and delay", async () => {
   const fleet = await startFleet({ count: 16, seed: 5 });
   fleet.network.setLossRate(0.2);
   fleet.network.setDuplicateRate(0.3);
   const recorded = fleet.list().map(recordVersions);
   for (let version = 2; version <= 12; version += 1) {
     fleet.service.putVersion(version, buildRecords(version));
-    // A service that is read through two doors gives old values in between.
+    // Reads through two endpoints may return old values in between.
     if (version % 3 === 0) {
       fleet.service.putVersion(version - 2, buildRecords(version - 2));
     }
@@ -41,7 +37,7 @@
   }
 });
 
-it("an old snapshot answer changes nothing", async () => {
+it("ignores an old snapshot answer", async () => {
   const fleet = await startFleet({ count: 4 });
   const from = getVm(fleet, 1);
   const store = ConfigurationStore.create(fleet.clock);
--- a/test/failures/owner_back_within_seconds_test.ts
+++ b/test/failures/owner_back_within_seconds_test.ts
@@ -1,12 +1,8 @@
 /**
- * Symptom: callers go on to a shard by figures of a process that is gone, for
- * up to ten seconds.
- *
- * Sequence: a shard's owner restarts, or loses the shard and gets it back; its
- * new summaries arrive while the old ones are still held.
- *
- * Cause: a summary is taken for old by its number alone, and the new owner
- * counts from the start.
+ * Guards against routing by the shard summary of a process that has ended, for
+ * up to ten seconds. It happens when a shard's owner restarts, or loses the
+ * shard and gets it back: the new owner's sequence numbers start again, so a
+ * comparison by number alone rejects its summaries as outdated.
  */
 import { expect, it } from "vitest";
 import {
@@ -38,18 +34,18 @@
   };
 }
 
-it("takes the first summary of an owner that restarted", () => {
-  const board = ShardSummaries.create(VirtualClock.create());
-  board.put(buildSummary("one", 5_000));
-  expect(board.put(buildSummary("two", 1))).toBe(true);
-  expect(board.find(SHARD)?.room).toBe(1);
-  expect(board.put(buildSummary("two", 1))).toBe(false);
+it("accepts the first summary of an owner that restarted", () => {
+  const summaries = ShardSummaries.create(VirtualClock.create());
+  summaries.put(buildSummary("one", 5_000));
+  expect(summaries.put(buildSummary("two", 1))).toBe(true);
+  expect(summaries.find(SHARD)?.room).toBe(1);
+  expect(summaries.put(buildSummary("two", 1))).toBe(false);
 });
 
-it("takes the summaries of an owner that got its shard back", async () => {
+it("accepts the summaries of an owner that got its shard back", async () => {
   const clock = VirtualClock.create();
   const environment = buildEnvironment(clock, { vm: "vm-a" });
-  const board = ShardSummaries.create(clock);
+  const summaries = ShardSummaries.create(clock);
   const createOwner = () =>
     ShardOwner.create({
       environment,
@@ -61,11 +57,11 @@
   const first = createOwner();
   for (let count = 0; count < 8; count++) {
     await clock.run(500);
-    board.put(first.buildSummary());
+    summaries.put(first.buildSummary());
   }
   first.stop();
   const second = createOwner();
   await clock.run(500);
-  expect(board.put(second.buildSummary())).toBe(true);
+  expect(summaries.put(second.buildSummary())).toBe(true);
   second.stop();
 });
--- a/test/failures/pause_while_connecting_test.ts
+++ b/test/failures/pause_while_connecting_test.ts
@@ -1,7 +1,7 @@
-// Symptom: a slot hold goes out after its claim and its lease have lapsed.
-// Sequence: the task checks both and opens a connection; the process is paused
-// for minutes; it wakes, the connection stands, and the bytes are written.
-// Cause: a check before the connect says nothing of the moment of the write.
+// Guards against a slot hold that is sent after its claim and its lease have
+// expired. The task checks both and opens a connection, the process is paused
+// for minutes, and on resuming it writes to the established connection. A check
+// before the connect doesn't hold for the time of the write.
 import { createServer } from "node:net";
 import type { AddressInfo } from "node:net";
 import { describe, expect, it, onTestFinished } from "vitest";
@@ -16,10 +16,10 @@
 import { LOOPBACK } from "../support/loopback.ts";
 
 const UPSTREAM = toId<VmId>("up-1");
-const LIMITS = { firstByteMs: 2_000, betweenBytesMs: 2_000, totalMs: 5_000 };
+const TIMEOUTS = { firstByteMs: 2_000, betweenBytesMs: 2_000, totalMs: 5_000 };
 
-describe("authority that lapses while a connection is opened", () => {
-  it("lets no byte out, and the work counts as not run", async () => {
+describe("a lease or claim that expires while a connection is opened", () => {
+  it("prevents any write, and the work counts as not run", async () => {
     let bytes = 0;
     const closed: Promise<void>[] = [];
     const server = createServer((socket) => {
@@ -47,7 +47,7 @@
       headers: {},
       body: Buffer.from("{}"),
       freshConnection: true,
-      timeouts: LIMITS,
+      timeouts: TIMEOUTS,
       signal: new AbortController().signal,
       canSend: () => false,
     };
--- a/test/failures/poison_request_test.ts
+++ b/test/failures/poison_request_test.ts
@@ -4,10 +4,10 @@
 import { FuzzWorld } from "../fuzz/fuzz_world.ts";
 
 const POISON = toId<RequestFingerprint>("poison");
-/** Longer than a call between VMs takes. */
-const TOLD_MS = 200;
-/** Longer than a VM that starts takes to hear it from one of the others. */
-const HEARD_MS = 10_000;
+/** Longer than a call between VMs. */
+const ANNOUNCEMENT_MS = 200;
+/** Longer than a VM that has just started needs to receive it from a peer. */
+const GOSSIP_MS = 10_000;
 const CRASHES = 3;
 
 async function createWorld(): Promise<FuzzWorld> {
@@ -19,9 +19,9 @@
   });
 }
 
-/** Each VM has an engine crash under the request. */
-async function endEngines(world: FuzzWorld): Promise<void> {
-  for (const [index, { runtime }] of world.listLives().entries()) {
+/** Notes an engine crash caused by the request on each VM. */
+async function noteEngineCrashes(world: FuzzWorld): Promise<void> {
+  for (const [index, { runtime }] of world.listLiveVms().entries()) {
     if (index === CRASHES) break;
     await runtime.quarantine.noteConnectionLoss(POISON, {
       id: toId<VmId>(`engine-${index}`),
@@ -29,31 +29,31 @@
       hadOutput: true,
     });
   }
-  await world.run(TOLD_MS);
+  await world.run(ANNOUNCEMENT_MS);
 }
 
-function listHeldMs(world: FuzzWorld): number[] {
-  return world.listLives().map(({ runtime }) =>
+function listQuarantineMs(world: FuzzWorld): number[] {
+  return world.listLiveVms().map(({ runtime }) =>
     runtime.quarantine.getQuarantineMs(POISON)
   );
 }
 
-// Guards against each VM learning by crashes of its own.
-it("engines that crash at three VMs are told to all", async () => {
+// Guards against each VM counting only the crashes that it saw itself.
+it("quarantines the request on all VMs after engine crashes seen by three", async () => {
   const world = await createWorld();
-  await endEngines(world);
-  expect(Math.min(...listHeldMs(world))).toBeGreaterThan(0);
+  await noteEngineCrashes(world);
+  expect(Math.min(...listQuarantineMs(world))).toBeGreaterThan(0);
   world.close();
 });
 
-it("a VM that starts later hears of them", async () => {
+it("quarantines the request on a VM that starts later", async () => {
   const world = await createWorld();
-  await endEngines(world);
-  const { self } = world.listLives()[0]!;
-  world.listLives()[0]!.destroy();
-  world.startLife(self);
-  await world.run(HEARD_MS);
-  expect(listHeldMs(world)).toHaveLength(3);
-  expect(Math.min(...listHeldMs(world))).toBeGreaterThan(0);
+  await noteEngineCrashes(world);
+  const { self } = world.listLiveVms()[0]!;
+  world.listLiveVms()[0]!.destroy();
+  world.startVm(self);
+  await world.run(GOSSIP_MS);
+  expect(listQuarantineMs(world)).toHaveLength(3);
+  expect(Math.min(...listQuarantineMs(world))).toBeGreaterThan(0);
   world.close();
 });
--- a/test/failures/processes/cold_start_test.ts
+++ b/test/failures/processes/cold_start_test.ts
@@ -1,11 +1,8 @@
 /**
- * Symptom: in the first seconds of a fresh fleet, requests with a short target
- * are refused as `deadline_passed` though every upstream idles.
- *
- * Sequence: all VMs start, each says that it is ready, callers send look-ups.
- *
- * Cause: the owners of the shards are new and grant nothing until they have
- * settled, which takes longer than the whole target of such a request.
+ * Guards against a fresh fleet that refuses requests with a short target as
+ * `deadline_passed` although every upstream is idle. New shard owners grant
+ * nothing until they have settled, which takes longer than the whole target of
+ * such a request.
  *
  * @module
  */
@@ -17,7 +14,7 @@
 
 afterEach(() => fleet?.close());
 
-it("serves a look-up as soon as the fleet says that it is ready", async () => {
+it("serves a look-up as soon as the fleet reports ready", async () => {
   fleet = await ProcessFleet.create({
     program: inject("daemonProgram"),
     vms: 4,
--- a/test/failures/processes/drain_test.ts
+++ b/test/failures/processes/drain_test.ts
@@ -1,13 +1,10 @@
 /**
- * Symptom: a VM that is taken out cuts streams, loses the requests that wait
- * in its queue or puts them behind later ones, or never ends.
- *
- * Sequence: a VM that owns a shard's queue is drained, by SIGTERM or by the
- * operator's call, with long streams in flight and others' requests waiting.
- *
- * Cause: its duties outlive it: streams must be finished by it, the queue by
- * the next owner with the waiters' ages, and callers hold its address for as
- * long as they were told that they may.
+ * Guards against a draining VM that cuts streams, loses or reorders queued
+ * requests, or never exits. A VM that owns a shard's queue is drained, by
+ * SIGTERM or by the operator's call, with long streams in flight and requests
+ * of other VMs waiting. It must finish its streams, hand over the queue to the
+ * next owner with the waiters' ages, and keep serving until the TTL of its
+ * address has expired at the callers.
  *
  * @module
  */
@@ -18,7 +15,7 @@
 const ENTRIES_TTL_MS = 2_000;
 const GRACE_MS = 30_000;
 const EVENT_MS = 20_000;
-const LEFT_OUT_MS = 5_000;
+const ENTRY_REMOVAL_MS = 5_000;
 const WAITERS = 3;
 
 let fleet: ProcessFleet | undefined;
@@ -30,8 +27,8 @@
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
 }
 
-for (const way of ["SIGTERM", "the operator"] as const) {
-  it(`a VM drained by ${way} finishes its work and hands the rest on`, async () => {
+for (const trigger of ["SIGTERM", "the operator"] as const) {
+  it(`a VM drained by ${trigger} finishes its work and hands over its queue`, async () => {
     fleet = await ProcessFleet.create({
       program: inject("daemonProgram"),
       vms: 4,
@@ -44,8 +41,8 @@
     const { core } = fleet.engines[0]!;
     const leaving = await fleet.findOwner("engines");
     const others = fleet.vms.filter((vm) => vm !== leaving);
-    // One slot comes free well before the other, so that the waiters run one
-    // after another and their ends tell their order.
+    // One slot becomes free well before the other, so that the waiters run one
+    // after another and complete in the order of the queue.
     const streams = [300, 500].map((tokens) =>
       sendChat(leaving.port, { tokens, name: `stream-${tokens}` })
     );
@@ -72,9 +69,9 @@
     }
 
     const startedAt = performance.now();
-    if (way === "SIGTERM") leaving.drain();
+    if (trigger === "SIGTERM") leaving.drain();
     else await leaving.startDrain();
-    await waitUntil("the queue to be handed on", EVENT_MS, () => {
+    await waitUntil("the queue to be handed over", EVENT_MS, () => {
       return leaving.readLog().includes(
         `event=shard_handed_over shard=engines/0`,
       );
@@ -82,9 +79,9 @@
     expect(leaving.readLog()).toMatch(
       /shard_handed_over shard=engines\/0 .*waiters=3/,
     );
-    // A caller that was given the address just before.
+    // A caller that received the address just before.
     addWaiter("kept-address", leaving.port);
-    await waitUntil("entries without the VM", LEFT_OUT_MS, async () => {
+    await waitUntil("entries without the VM", ENTRY_REMOVAL_MS, async () => {
       const answers = await Promise.all(
         others.map((vm) => vm.fetchEntries()),
       );
--- a/test/failures/processes/killed_vms_test.ts
+++ b/test/failures/processes/killed_vms_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: callers find no VM that serves them, or are told a wrong fate, after
- * VMs were lost.
- *
- * Sequence: one, half or all of the entry VMs are killed (SIGKILL) and started
- * again, with the configuration service up or down.
- *
- * Cause: VMs keep nothing. A new process has no configuration, knows nothing
- * of its former incarnation's requests, and owns shards again at once.
+ * Guards against callers that find no serving VM, or get a wrong request
+ * status, after one, half or all of the entry VMs were killed (SIGKILL) and
+ * restarted, with the configuration service up or down. VMs persist nothing: a
+ * new process has no configuration, no record of its former incarnation's
+ * requests, and owns shards again at once.
  *
  * @module
  */
@@ -14,8 +11,8 @@
 import { sendCall } from "../../../demo/http_call.ts";
 import {
   countExecutions,
-  fetchFate,
   fetchRequestId,
+  fetchRequestStatus,
   sendChat,
   sendHold,
 } from "../../support/process_calls.ts";
@@ -26,8 +23,8 @@
 } from "../../support/process_fleet.ts";
 import type { ProcessVm } from "../../support/process_vm.ts";
 
-/** "Within seconds", with the start of several processes at once in it. */
-const SERVES_MS = 15_000;
+/** "Within seconds", including the start of several processes at once. */
+const SERVING_TIMEOUT_MS = 15_000;
 const EVENT_MS = 20_000;
 
 let fleet: ProcessFleet;
@@ -57,7 +54,7 @@
 async function checkServing(vms: readonly ProcessVm[]): Promise<void> {
   await Promise.all(
     vms.map((vm) =>
-      waitUntil(`${vm.id} to serve`, SERVES_MS, async () => {
+      waitUntil(`${vm.id} to serve`, SERVING_TIMEOUT_MS, async () => {
         const ended = await sendChat(vm.port, { tokens: 3, name: vm.id });
         return ended.outcome.kind === "answered";
       })
@@ -87,7 +84,7 @@
   await checkServing(fleet.vms);
 });
 
-it("all killed with the service down refuse truly until it is up", async () => {
+it("all killed with the service down refuse as not run until it is up", async () => {
   fleet.platform.core.setFault("down");
   await destroyAll(fleet.vms);
   for (const vm of fleet.vms) vm.start();
@@ -108,7 +105,7 @@
   await checkServing(fleet.vms);
 });
 
-it("an id of a gone incarnation is unknown and never runs", async () => {
+it("an id issued by an ended incarnation is unknown and never runs", async () => {
   const [issuer, other] = [fleet.vms[0]!, fleet.vms[1]!];
   const requestId = await fetchRequestId(issuer.port);
   const ran = await fetchRequestId(issuer.port);
@@ -130,7 +127,7 @@
   expect(countExecutions(fleet.services, ran)).toBe(1);
 });
 
-it("what a killed VM had in hand is told as unknown, never as not run", async () => {
+it("requests in flight on a killed VM are reported as unknown, not as not run", async () => {
   const [issuer, runner, third] = fleet.vms;
   const requestId = await fetchRequestId(issuer!.port);
   const held = sendHold(runner!.port, { name: "in-hand", requestId });
@@ -139,14 +136,18 @@
   });
   await runner!.destroy();
   expect((await held).outcome.kind).toBe("unaccounted");
-  const tellers = [issuer!, third!];
-  for (const vm of tellers) {
-    expect((await fetchFate(vm.port, requestId)).outcome).toBe("unknown");
+  const reporters = [issuer!, third!];
+  for (const vm of reporters) {
+    expect((await fetchRequestStatus(vm.port, requestId)).outcome).toBe(
+      "unknown",
+    );
   }
   runner!.start();
   await waitUntilReady([runner!]);
-  for (const vm of [...tellers, runner!]) {
-    expect((await fetchFate(vm.port, requestId)).outcome).toBe("unknown");
+  for (const vm of [...reporters, runner!]) {
+    expect((await fetchRequestStatus(vm.port, requestId)).outcome).toBe(
+      "unknown",
+    );
     const again = await sendHold(vm.port, { name: "in-hand", requestId });
     expect(again.outcome.kind).toBe("refused");
     expect(again.outcome).not.toMatchObject({ outcome: "not_run" });
@@ -154,19 +155,23 @@
   expect(countExecutions(fleet.services, requestId)).toBe(1);
 });
 
-it("callers that ask for entries leave a killed VM", async () => {
+it("entries leave out a killed VM until it is back", async () => {
   const gone = fleet.vms[3]!;
   const left = fleet.vms.slice(0, 3);
   await gone.destroy();
-  await waitUntil("entries without the killed VM", SERVES_MS, async () => {
-    const answers = await Promise.all(left.map((vm) => vm.fetchEntries()));
-    return answers.every((entries) =>
-      entries.length === 3 && entries.every(({ vm }) => vm !== gone.id)
-    );
-  });
+  await waitUntil(
+    "entries without the killed VM",
+    SERVING_TIMEOUT_MS,
+    async () => {
+      const answers = await Promise.all(left.map((vm) => vm.fetchEntries()));
+      return answers.every((entries) =>
+        entries.length === 3 && entries.every(({ vm }) => vm !== gone.id)
+      );
+    },
+  );
   gone.start();
   await waitUntilReady([gone]);
-  await waitUntil("entries with it again", SERVES_MS, async () => {
+  await waitUntil("entries with it again", SERVING_TIMEOUT_MS, async () => {
     const answers = await Promise.all(left.map((vm) => vm.fetchEntries()));
     return answers.every((entries) => entries.some(({ vm }) => vm === gone.id));
   });
--- a/test/failures/processes/paused_vm_test.ts
+++ b/test/failures/processes/paused_vm_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: an engine runs more requests than it has slots, a slot is held
- * twice, or a request is lost, after a VM stood still for some seconds.
- *
- * Sequence: a VM's process is stopped (SIGSTOP) at some point of a request and
- * continued after its leases have lapsed and others have taken over from it.
- *
- * Cause: the process wakes in the middle of what it was doing and still
- * believes in leases, claims and shards that it no longer has.
+ * Guards against an engine that runs more requests than it has slots, a slot
+ * hold that runs twice, and lost requests, after a VM was paused for some
+ * seconds. A VM's process is stopped (SIGSTOP) during a request and continued
+ * after its leases have expired and other VMs have taken over. It resumes with
+ * leases, claims and shards that it no longer holds.
  *
  * @module
  */
@@ -17,7 +14,7 @@
   countExecutions,
   fetchRequestId,
   listRuns,
-  PeakWatch,
+  PeakMonitor,
   sendChat,
   sendHold,
 } from "../../support/process_calls.ts";
@@ -28,16 +25,16 @@
 } from "../../support/process_fleet.ts";
 import type { ProcessVm } from "../../support/process_vm.ts";
 
-/** Longer than a lease that was never renewed stands (3 s). */
+/** Longer than a lease that was never renewed is valid (3 s). */
 const PAST_FIRST_LEASE_MS = 4_000;
-/** Longer than any lease (6 s) and any silence that the pools allow. */
+/** Longer than any lease (6 s) and any time-out between bytes of the pools. */
 const PAST_LEASES_MS = 8_000;
 const EVENT_MS = 20_000;
 
 let fleet: ProcessFleet;
 
 beforeAll(async () => {
-  // One slot in all: whoever sends without a slot of its own is seen.
+  // One slot in all, so that any request sent without a slot shows.
   fleet = await ProcessFleet.create({
     program: inject("daemonProgram"),
     vms: 4,
@@ -68,7 +65,7 @@
     .reduce((sum, run) => sum + run.tokens, 0);
 }
 
-/** The engines' owner, and others that are not. */
+/** The owner of the engines' shard, and two VMs that are not. */
 async function findRoles() {
   const owner = await fleet.findOwner("engines");
   const others = fleet.vms.filter((vm) => vm !== owner);
@@ -83,15 +80,15 @@
   });
 }
 
-function checkOneRun(ended: CallResult): void {
+function checkRanOnce(ended: CallResult): void {
   const found = JSON.stringify(ended.outcome);
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
   expect(listRuns(fleet.engines, ended.requestId!)).toHaveLength(1);
 }
 
-it("a VM paused with a request in the queue sends it in its turn", async () => {
+it("a VM paused with a queued request sends it in its turn", async () => {
   const { owner, paused, other } = await findRoles();
-  const peak = PeakWatch.create(fleet.engines);
+  const peak = PeakMonitor.create(fleet.engines);
   const first = sendChat(other.port, { tokens: 100, name: "first" });
   await waitUntil("the first to run", EVENT_MS, () => getRunning() === 1);
   const queued = sendChat(paused.port, { tokens: 20, name: "queued" });
@@ -102,16 +99,16 @@
   await sleep(PAST_FIRST_LEASE_MS);
   expect(getRunning()).toBe(1);
   paused.resume();
-  checkOneRun(await queued);
-  checkOneRun(await second);
-  checkOneRun(await first);
+  checkRanOnce(await queued);
+  checkRanOnce(await second);
+  checkRanOnce(await first);
   peak.stop();
   expect(peak.peak).toBe(1);
 });
 
-it("a VM paused after the grant does not send on the lapsed lease", async () => {
+it("a VM paused after the grant does not send under the expired lease", async () => {
   const { owner, paused, other } = await findRoles();
-  const peak = PeakWatch.create(fleet.engines);
+  const peak = PeakMonitor.create(fleet.engines);
   const leave = new AbortController();
   const first = sendChat(other.port, {
     tokens: 1_500,
@@ -122,7 +119,7 @@
   const granted = sendChat(paused.port, { tokens: 20, name: "granted" });
   await waitForWaiter(owner);
   // The owner holds the paused VM's call and answers it with the grant, which
-  // then lies in the socket's buffer until the VM wakes.
+  // stays in the socket's buffer until the VM resumes.
   paused.stop();
   leave.abort();
   await first;
@@ -130,13 +127,13 @@
   await sleep(PAST_FIRST_LEASE_MS);
   await waitUntil("the second to run", EVENT_MS, () => getRunning() === 1);
   paused.resume();
-  checkOneRun(await granted);
-  checkOneRun(await second);
+  checkRanOnce(await granted);
+  checkRanOnce(await second);
   peak.stop();
   expect(peak.peak).toBe(1);
 });
 
-it("a VM paused while it streams gives the whole answer", async () => {
+it("a VM paused while it streams delivers the complete answer", async () => {
   const { paused } = await findRoles();
   const requestId = await fetchRequestId(paused.port);
   const streamed = sendChat(paused.port, {
@@ -153,12 +150,12 @@
   await sleep(PAST_LEASES_MS);
   paused.resume();
   const ended = await streamed;
-  // What the engine generated meanwhile lies in the buffers: work done again
-  // would be wasted.
-  checkOneRun(ended);
+  // The tokens generated meanwhile are in the buffers: a second run would be
+  // wasted work.
+  checkRanOnce(ended);
 });
 
-it("a VM paused while a hold runs tells its true fate", async () => {
+it("a VM paused while a hold runs reports its true status", async () => {
   const { paused, other } = await findRoles();
   const requestId = await fetchRequestId(other.port);
   const held = sendHold(paused.port, { name: "vehicle-1", requestId });
@@ -183,7 +180,7 @@
   expect(ended.outcome).toMatchObject({ kind: "answered" });
 });
 
-it("a shard's owner that was paused grants nothing that is taken", async () => {
+it("a resumed shard owner grants no slot that is in use", async () => {
   const { owner, other } = await findRoles();
   owner.stop();
   const others = fleet.vms.filter((vm) => vm !== owner);
@@ -192,7 +189,7 @@
     others,
     (found) => found !== owner,
   );
-  const peak = PeakWatch.create(fleet.engines);
+  const peak = PeakMonitor.create(fleet.engines);
   const long = sendChat(other.port, { tokens: 300, name: "long" });
   await waitUntil("the next owner's grant", EVENT_MS, () => getRunning() === 1);
   expect(next).not.toBe(owner);
@@ -202,12 +199,12 @@
       sendChat(owner.port, { tokens: 10, name })
     ),
   );
-  for (const one of [...ended, await long]) checkOneRun(one);
+  for (const one of [...ended, await long]) checkRanOnce(one);
   peak.stop();
   expect(peak.peak).toBe(1);
 });
 
-it("an issuer of ids that was paused lets each id run once", async () => {
+it("a resumed issuer of ids lets each id run once", async () => {
   const { owner: issuer, paused: left, other: right } = await findRoles();
   const requestId = await fetchRequestId(issuer.port);
   issuer.stop();
@@ -230,7 +227,7 @@
   expect(kinds).not.toContain("unaccounted");
 });
 
-it("a VM that was paused takes no older configuration anywhere", async () => {
+it("a resumed VM brings back no older configuration on any VM", async () => {
   const { paused } = await findRoles();
   paused.stop();
   const version = fleet.announceRecords({ requestsPerMinute: 999_999 });
--- a/test/failures/processes/silent_connections_test.ts
+++ b/test/failures/processes/silent_connections_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: requests hang until their deadline, or a VM keeps an old
- * configuration, though every process is well and new connections work.
- *
- * Sequence: connections that are open go silent for good: bytes are taken and
- * none arrives, and neither end hears of an error. New connections work.
- *
- * Cause: something between the two ends has lost track of the connection. Only
- * a deadline tells, and what was kept open beside it may be silent as well.
+ * Guards against requests that hang until their deadline, and VMs that keep an
+ * old configuration, when open connections go silent: bytes are accepted but
+ * never arrive, and neither end sees an error. It happens when a device between
+ * the two ends drops the connection's state. New connections work. Only a
+ * deadline detects it, and other idle connections may be silent as well.
  *
  * @module
  */
@@ -25,11 +22,11 @@
 import { CALLER_KEY } from "../../support/process_records.ts";
 
 const BODY_TIMEOUT_MS = 2_000;
-/** The pool's silence between bytes (2 s) and what resuming takes. */
+/** The pool's time-out between bytes (2 s) and the time to resume. */
 const UPSTREAM_NOTICED_MS = 8_000;
-/** A watch's longest wait (5 s), its answer's time (2 s) and a new one. */
+/** A watch's longest wait (5 s), its answer's time-out (2 s), a new one. */
 const WATCH_NOTICED_MS = 12_000;
-/** A peer call's longest deadline (hold 1 s and 0.5 s) and a new one. */
+/** A peer call's longest deadline (hold 1 s and 0.5 s) and a new call. */
 const PEER_NOTICED_MS = 8_000;
 const EVENT_MS = 20_000;
 
@@ -52,7 +49,7 @@
   expect(ended.outcome, found).toMatchObject({ kind: "answered" });
 }
 
-it("a caller that goes silent within its body is told and cut", async () => {
+it("answers 408 to a caller that goes silent within its body", async () => {
   const socket = connect(fleet.vms[0]!.port, "127.0.0.1");
   let answer = "";
   socket.on("data", (chunk) => answer += chunk.toString());
@@ -60,13 +57,13 @@
     "POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n" +
       `authorization: Bearer ${CALLER_KEY}\r\ncontent-length: 500\r\n\r\n{`,
   );
-  await waitUntil("the listener to give up", EVENT_MS, () => answer !== "");
+  await waitUntil("the listener to time out", EVENT_MS, () => answer !== "");
   expect(answer).toMatch(/^HTTP\/1\.1 408 /);
   expect(answer).toContain('"outcome":"not_run"');
   socket.destroy();
 });
 
-it("an upstream that goes silent within a stream is left", async () => {
+it("resumes elsewhere where an upstream goes silent within a stream", async () => {
   const vm = fleet.vms[0]!;
   const requestId = await fetchRequestId(vm.port);
   const tokens = 400;
@@ -87,7 +84,7 @@
   expect(runs[1]!.resumedFrom).toBeGreaterThan(0);
 });
 
-it("kept connections that are silent cost a hold nothing", async () => {
+it("silent idle connections do not fail a slot hold", async () => {
   const vm = fleet.vms[1]!;
   checkAnswered(await sendHold(vm.port, { name: "before" }));
   fleet.relays.get("service-1")!.setModeOfOpen("swallow");
@@ -100,7 +97,7 @@
   }
 });
 
-it("kept connections that are silent are left by the next calls", async () => {
+it("the next calls replace silent idle connections", async () => {
   const vm = fleet.vms[2]!;
   const names = Array.from({ length: 6 }, (_, index) => `kept-${index}`);
   const send = () =>
@@ -116,7 +113,7 @@
   expect(performance.now() - silentAt).toBeLessThan(UPSTREAM_NOTICED_MS);
 });
 
-it("connections to a shard's owner that go silent are replaced", async () => {
+it("replaces silent connections to a shard's owner", async () => {
   const owner = await fleet.findOwner("engines");
   const others = fleet.vms.filter((vm) => vm !== owner);
   fleet.relays.get(owner.id)!.setModeOfOpen("swallow");
@@ -133,8 +130,8 @@
   }
 });
 
-it("a watch that goes silent is replaced, and the news arrives", async () => {
-  // Past the first reads, so that what is open is the watch.
+it("replaces a silent watch and receives the update", async () => {
+  // Past the first reads, so that the open connection is the watch.
   await sleep(1_000);
   for (const vm of fleet.vms) {
     fleet.relays.get(`platform:${vm.id}`)!.setModeOfOpen("swallow");
--- a/test/failures/processes/upstream_leaving_test.ts
+++ b/test/failures/processes/upstream_leaving_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: an upstream that is about to go still gets new work, which is lost
- * with it.
- *
- * Sequence: an engine is marked as leaving on the published list, or says so
- * in its own load report, under steady load through every VM.
- *
- * Cause: each VM acts on its own copy of the list, and only the shard's owner
- * reads load reports. The word must reach all within a few seconds.
+ * Guards against new work for an upstream that is about to stop, which would be
+ * lost with it. Under steady load through every VM, an engine is marked as
+ * leaving on the published list or in its own load report. Each VM acts on its
+ * own copy of the list, and only the shard's owner fetches load reports: the
+ * notice must reach all VMs within a few seconds.
  *
  * @module
  */
@@ -21,17 +18,17 @@
 import { ProcessFleet, waitUntil } from "../../support/process_fleet.ts";
 
 /** "After a few seconds". */
-const STOPPED_MS = 5_000;
+const NOTICED_MS = 5_000;
 const WATCHED_MS = 8_000;
-const EVERY_MS = 40;
+const SEND_INTERVAL_MS = 40;
 const EVENT_MS = 20_000;
 
 let fleet: ProcessFleet | undefined;
 
 afterEach(() => fleet?.close());
 
-for (const way of ["the list", "its own word"] as const) {
-  it(`an engine that leaves by ${way} gets no new work`, async () => {
+for (const source of ["the list", "its load report"] as const) {
+  it(`an engine marked as leaving by ${source} gets no new work`, async () => {
     fleet = await ProcessFleet.create({
       program: inject("daemonProgram"),
       vms: 4,
@@ -45,10 +42,10 @@
       for (let index = 0; !isOver; index++) {
         const { port } = vms[index % vms.length]!;
         sent.push(sendChat(port, { tokens: 5, name: `load-${index}` }));
-        await sleep(EVERY_MS);
+        await sleep(SEND_INTERVAL_MS);
       }
     })();
-    // Some of them run on while the engine leaves: they are not cut.
+    // Some of them continue while the engine leaves: they must not be cut.
     const ids = await Promise.all(vms.map((vm) => fetchRequestId(vm.port)));
     const long = vms.map((vm, index) =>
       sendChat(vm.port, {
@@ -62,7 +59,7 @@
     });
 
     const leftAt = performance.now();
-    if (way === "the list") fleet.announceStates({ "engine-1": "leaving" });
+    if (source === "the list") fleet.announceStates({ "engine-1": "leaving" });
     else core.setLeaving(true);
     let count = core.listRequestIds().length;
     let lastNewAt = leftAt;
@@ -74,7 +71,7 @@
     }
     isOver = true;
     await load;
-    expect(lastNewAt - leftAt).toBeLessThan(STOPPED_MS);
+    expect(lastNewAt - leftAt).toBeLessThan(NOTICED_MS);
     for (const one of await Promise.all([...sent, ...long])) {
       const found = JSON.stringify(one.result);
       expect(one.outcome, found).toMatchObject({ kind: "answered" });
--- a/test/failures/resubmitted_to_fresh_vm_test.ts
+++ b/test/failures/resubmitted_to_fresh_vm_test.ts
@@ -1,14 +1,10 @@
 /**
- * Symptom: a caller resubmitted a request that had run, and was told
- * `not_ready` with "not run".
- *
- * Sequence: a caller took an id and submitted it; an engine began the work, and
- * the VM's process ended. Its successor had no configuration yet when the
- * caller submitted the id again there.
- *
- * Cause: what is refused before the id's issuer is asked was told as "not run"
- * because this submission reached no upstream. The word is about the request,
- * and an earlier submission of the same id may have run.
+ * Guards against a false `not_run` in the refusal of a resubmitted request. A
+ * caller gets a request id and submits the request, an engine starts it, and
+ * the VM's process ends; its successor refuses the resubmission as `not_ready`
+ * because it has no configuration yet. The outcome is about the request, not
+ * about this submission: as long as the id's issuer has not been queried, an
+ * earlier submission of the same id may have run.
  */
 import { expect, it } from "vitest";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
@@ -22,7 +18,7 @@
 
 const clock = VirtualClock.create();
 
-it("does not say not_run of a taken id that nobody was asked about", async () => {
+it("does not report not_run for an issued id before its issuer is queried", async () => {
   const { vm, id, fresh } = await runAndReplace();
   expect(vm.upstreams.calls).toHaveLength(1);
   const refused = await sendService(fresh, id);
@@ -34,7 +30,7 @@
   expect(refused.headers["x-should-retry"]).toBe("false");
 });
 
-it("does not say so for a wrong key either", async () => {
+it("does not report not_run for a wrong key either", async () => {
   const { vm, id } = await runAndReplace();
   const refused = await sendService(vm, id, "nobody");
   expect(refused.json.error).toMatchObject({
@@ -43,7 +39,7 @@
   });
 });
 
-it("names no time to come back once the issuing process is gone", async () => {
+it("gives no retry time once the issuing process has ended", async () => {
   const { id, fresh } = await runAndReplace({ hasConfiguration: true });
   const refused = await sendService(fresh, id);
   expect(refused.json.error).toMatchObject({
@@ -54,7 +50,7 @@
   expect(fresh.upstreams.calls).toHaveLength(0);
 });
 
-it("still says not_run without an id, and of what is no id", async () => {
+it("reports not_run without an id, and for a malformed id", async () => {
   const { fresh } = await runAndReplace();
   const plain = await sendService(fresh, undefined);
   expect(plain.json.error.outcome).toBe("not_run");
--- a/test/failures/retry_with_ejected_replica_test.ts
+++ b/test/failures/retry_with_ejected_replica_test.ts
@@ -1,16 +1,10 @@
 /**
- * Symptom: a reminder waited for good at the head of an empty queue, with free
- * slots beside it; its caller never heard anything.
- *
- * Sequence: of a service's two replicas, one failed and was ejected. A reminder
- * was granted the other, which refused the connection; nothing was sent, so the
- * reminder came back to the queue to be tried on a replica that had not failed
- * it. No other work came.
- *
- * Cause: only the ejected replica could serve it, ejected replicas are given
- * work that may be repeated alone, as a probe, and a reminder may not be. The
- * replica that nobody could probe counted as one that serves, so the reminder
- * was not refused either.
+ * Guards against a request that waits forever although slots are free. One of a
+ * service's two replicas is ejected; a non-idempotent request is granted the
+ * other, which refuses the connection, so it is queued again for a replica that
+ * has not failed it. Only the ejected replica is left, and ejected replicas are
+ * probed with idempotent requests only. Without other work nothing probes it,
+ * and as it counted as available, the request was not refused either.
  */
 import { expect, it } from "vitest";
 import { toId, type VmId } from "../../src/ids.ts";
@@ -24,56 +18,65 @@
 
 const FIRST = toId<VmId>("upstream-0");
 const SECOND = toId<VmId>("upstream-1");
-const ONCE: Partial<AcquireCall> = { avoid: [SECOND], idempotent: false };
-const UNSERVED_MS = 5_000;
+const NON_IDEMPOTENT: Partial<AcquireCall> = {
+  avoid: [SECOND],
+  idempotent: false,
+};
+const UNSERVED_TIMEOUT_MS = 5_000;
 const MAX_PROBE_MS = 60_000;
 
-it("probes with any work where nothing in service could serve it", async () => {
-  const bench = await createEjected();
-  const once = buildCall("reminder", { ...ONCE, holdMs: 60_000 });
-  bench.acquire(once);
-  await bench.clock.run(UNSERVED_MS);
-  expect(bench.leases.get(once.ticket)?.upstream).toBe(FIRST);
+it("probes with any request where no other replica can serve it", async () => {
+  const harness = await createOwnerWithEjectedReplica();
+  const nonIdempotent = buildCall("reminder", {
+    ...NON_IDEMPOTENT,
+    holdMs: 60_000,
+  });
+  harness.acquire(nonIdempotent);
+  await harness.clock.run(UNSERVED_TIMEOUT_MS);
+  expect(harness.leases.get(nonIdempotent.ticket)?.upstream).toBe(FIRST);
 });
 
-it("refuses in seconds what only a replica not due for a probe serves", async () => {
-  const bench = await createEjected();
-  // Each probe that fails makes the next one wait longer than the last.
+it("refuses within seconds where the only replica is not due for a probe", async () => {
+  const harness = await createOwnerWithEjectedReplica();
+  // Each failed probe increases the delay before the next one.
   for (let probes = 0; probes < 3; probes++) {
     const probe = buildCall("lookup");
-    await bench.clock.run(MAX_PROBE_MS);
-    bench.acquire(probe);
-    await bench.clock.run(1);
-    expect(bench.leases.get(probe.ticket)?.upstream).toBe(FIRST);
-    bench.release(probe, { state: "failed" });
+    await harness.clock.run(MAX_PROBE_MS);
+    harness.acquire(probe);
+    await harness.clock.run(1);
+    expect(harness.leases.get(probe.ticket)?.upstream).toBe(FIRST);
+    harness.release(probe, { state: "failed" });
   }
-  const once = buildCall("reminder", { ...ONCE, holdMs: 60_000 });
-  bench.acquire(once);
-  await bench.clock.run(UNSERVED_MS);
-  expect(bench.refused.get(once.ticket)).toBe("no_upstream");
+  const nonIdempotent = buildCall("reminder", {
+    ...NON_IDEMPOTENT,
+    holdMs: 60_000,
+  });
+  harness.acquire(nonIdempotent);
+  await harness.clock.run(UNSERVED_TIMEOUT_MS);
+  expect(harness.refused.get(nonIdempotent.ticket)).toBe("no_upstream");
 });
 
-it("does not probe with work that is not to be repeated otherwise", async () => {
-  const bench = await createEjected();
-  await bench.clock.run(UNSERVED_MS);
-  const once = buildCall("reminder", { idempotent: false });
-  bench.acquire(once);
-  await bench.clock.run(1);
-  expect(bench.leases.get(once.ticket)?.upstream).toBe(SECOND);
+it("does not probe with a non-idempotent request otherwise", async () => {
+  const harness = await createOwnerWithEjectedReplica();
+  await harness.clock.run(UNSERVED_TIMEOUT_MS);
+  const nonIdempotent = buildCall("reminder", { idempotent: false });
+  harness.acquire(nonIdempotent);
+  await harness.clock.run(1);
+  expect(harness.leases.get(nonIdempotent.ticket)?.upstream).toBe(SECOND);
 });
 
-/** An owner of two replicas, the first of them ejected for its failures. */
-async function createEjected(): Promise<OwnerHarness> {
-  const bench = await createOwnerHarness({
+/** An owner of two replicas, the first of them ejected after failures. */
+async function createOwnerWithEjectedReplica(): Promise<OwnerHarness> {
+  const harness = await createOwnerHarness({
     classes: [buildClass("lookup"), buildClass("reminder")],
     replicas: 2,
   });
   for (let failures = 0; failures < 2; failures++) {
     const call = buildCall("lookup", { avoid: [SECOND] });
-    bench.acquire(call);
-    await bench.clock.run(1);
-    bench.release(call, { state: "failed" });
+    harness.acquire(call);
+    await harness.clock.run(1);
+    harness.release(call, { state: "failed" });
   }
-  await bench.clock.run(1_100);
-  return bench;
+  await harness.clock.run(1_100);
+  return harness;
 }
--- a/test/failures/service_down_test.ts
+++ b/test/failures/service_down_test.ts
@@ -1,11 +1,8 @@
 /**
- * Symptom: a change reaches some VMs and never the others.
- *
- * Sequence: the configuration service answers only one VM, or none for long,
- * and then a new version is published.
- *
- * Cause: VMs that depend on their own reads. Versions pass from peer to peer,
- * and a VM that gets through while the watchers do not becomes a watcher.
+ * Guards against a configuration change that reaches only some VMs when the
+ * configuration service answers only one VM, or none for a long time. VMs must
+ * not depend on their own reads: versions travel from peer to peer, and a VM
+ * that reaches the service while the watchers cannot becomes a watcher.
  *
  * @module
  */
@@ -20,7 +17,7 @@
   toVmId,
 } from "../support/fleet_steps.ts";
 
-it("one VM that gets through supplies the fleet", async () => {
+it("one VM that reaches the service supplies the fleet", async () => {
   for (const count of [8, 16]) {
     const fleet = await startFleet({ count });
     const watchers = fleet.list().filter((vm) =>
@@ -31,12 +28,15 @@
     fleet.service.reachableBy = new Set([reader.listed.id]);
     await fleet.clock.run(40_000);
     fleet.service.putVersion(2, buildRecords(2));
-    const took = await fleet.runUntil(() => isEverywhere(fleet, 2), 30_000);
-    expect(took).toBeLessThan(2_000);
+    const elapsedMs = await fleet.runUntil(
+      () => isEverywhere(fleet, 2),
+      30_000,
+    );
+    expect(elapsedMs).toBeLessThan(2_000);
   }
 });
 
-it("and goes on doing so for as long as it is the only one", async () => {
+it("one VM keeps supplying the fleet while only it reaches the service", async () => {
   const fleet = await startFleet({ count: 16 });
   const reader = fleet.list().find((vm) =>
     !vm.follower.listVersions().isWatcher
@@ -45,11 +45,11 @@
   await fleet.clock.run(40_000);
   for (let version = 2; version < 40; version += 1) {
     fleet.service.putVersion(version, buildRecords(version));
-    const took = await fleet.runUntil(
+    const elapsedMs = await fleet.runUntil(
       () => isEverywhere(fleet, version),
       30_000,
     );
-    expect(took).toBeLessThan(2_000);
+    expect(elapsedMs).toBeLessThan(2_000);
     await fleet.clock.run(7_000);
   }
   fleet.service.reachableBy = undefined;
@@ -57,7 +57,7 @@
   expect(reader.follower.listVersions().isWatcher).toBe(false);
 });
 
-it("a long outage leaves the version in force, and is over at once", async () => {
+it("a long outage keeps the version in force, and recovery is immediate", async () => {
   const fleet = await startFleet({ count: 8 });
   fleet.service.isDown = true;
   await fleet.clock.run(600_000);
@@ -70,7 +70,7 @@
   await fleet.runUntil(() => membership.getViewAgeMs() < 1_000, 7_000);
 });
 
-it("a VM that starts meanwhile gets the version from its peers", async () => {
+it("a VM that starts during an outage gets the version from its peers", async () => {
   const fleet = await startFleet({ count: 8 });
   fleet.service.isDown = true;
   const { listed } = getVm(fleet, 3);
@@ -83,7 +83,7 @@
   expect(restarted.follower.getList().revision).toBe(1);
 });
 
-it("all VMs started again serve once the service is there", async () => {
+it("a fully restarted fleet serves once the service is back", async () => {
   const fleet = await startFleet({ count: 4 });
   fleet.service.isDown = true;
   const listed = fleet.list().map((vm) => vm.listed);
--- a/test/failures/services_disagree_test.ts
+++ b/test/failures/services_disagree_test.ts
@@ -1,11 +1,9 @@
 /**
- * Symptom: two VMs on one version treat one workspace differently, for good.
- *
- * Sequence: two services (or one that was restored) publish different records
- * under one version number; each VM takes the one that it reads first.
- *
- * Cause: a version number does not tell the contents apart. Probes carry a
- * digest, and of two contents the one with the greater digest wins everywhere.
+ * Guards against VMs that permanently apply different records under one version
+ * number. It happens when two services, or one that was restored, publish
+ * different contents under the same number and each VM applies the first that
+ * it reads. Probes carry a digest of the contents, and the content with the
+ * greater digest wins everywhere.
  *
  * @module
  */
@@ -18,7 +16,7 @@
 const VMS = 8;
 
 /** A fleet whose second half reads another service. */
-function startTorn(): { fleet: VirtualFleet; other: VirtualService } {
+function createDividedFleet(): { fleet: VirtualFleet; other: VirtualService } {
   const fleet = VirtualFleet.create({ count: VMS });
   const other = new VirtualService(fleet.clock);
   const listed = fleet.list().map((vm) => vm.listed);
@@ -33,10 +31,10 @@
   );
 }
 
-it("one content wins everywhere, alike for both orders", async () => {
+it("the same content wins everywhere in either order of publication", async () => {
   const winners = [];
   for (const [first, second] of [[1, 2], [2, 1]] as const) {
-    const { fleet, other } = startTorn();
+    const { fleet, other } = createDividedFleet();
     fleet.service.putVersion(7, buildRecords(first));
     other.putVersion(7, buildRecords(second));
     for (const vm of fleet.list()) startVm(vm);
@@ -48,8 +46,8 @@
   expect(winners[0]).toBe(winners[1]);
 });
 
-it("the conflict stands in the report of the side that lost", async () => {
-  const { fleet, other } = startTorn();
+it("the side that lost reports the conflict in its history", async () => {
+  const { fleet, other } = createDividedFleet();
   fleet.service.putVersion(7, buildRecords(1));
   for (const vm of fleet.list()) startVm(vm);
   await fleet.clock.run(5_000);
@@ -63,8 +61,8 @@
   expect(listDigests(fleet).size).toBe(1);
 });
 
-it("the higher version wins over the service that lags", async () => {
-  const { fleet, other } = startTorn();
+it("the higher version wins over a service that lags", async () => {
+  const { fleet, other } = createDividedFleet();
   fleet.service.putVersion(7, buildRecords(7));
   other.putVersion(4, buildRecords(4));
   for (const vm of fleet.list()) startVm(vm);
@@ -75,24 +73,24 @@
   expect(fleet.listVersions()).toEqual(Array(VMS).fill(7));
 });
 
-it("a content that one service has wrong gives way to the valid one", async () => {
-  const { fleet, other } = startTorn();
+it("valid content wins over invalid content of another service", async () => {
+  const { fleet, other } = createDividedFleet();
   fleet.service.putVersion(7, buildRecords(7));
   other.putVersion(7, buildBadRecords(7));
   for (const vm of fleet.list()) startVm(vm);
   await fleet.clock.run(10_000);
   expect(fleet.listVersions()).toEqual(Array(VMS).fill(7));
   expect(listDigests(fleet).size).toBe(1);
-  const torn = fleet.vms.get(toVmId(VMS - 1))!;
-  const rejected = torn.follower.listVersions().history.filter((entry) =>
+  const vm = fleet.vms.get(toVmId(VMS - 1))!;
+  const rejected = vm.follower.listVersions().history.filter((entry) =>
     entry.result === "rejected"
   );
   expect(rejected.length).toBeLessThanOrEqual(1);
 });
 
-it("a group published twice does not make later versions bad", async () => {
-  // Found by the fuzzer: the bad group's records were kept under its version,
-  // and a later version that named the same group was rejected with them.
+it("a group published twice does not invalidate later versions", async () => {
+  // Found by the fuzzer: the invalid group's records were cached under its
+  // version, so a later version that named the same group was rejected too.
   const fleet = VirtualFleet.create({ count: VMS });
   fleet.service.putVersion(1, buildBadRecords(1));
   fleet.startAll();
--- a/test/failures/shed_beside_lower_shard_test.ts
+++ b/test/failures/shed_beside_lower_shard_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: a clerk's summary was refused (queue full, or shed) by one shard of
- * its pool while another shard of the same pool served chat.
- *
- * Sequence: a burst of chat, then a burst of summaries, fills both shards.
- *
- * Cause: the VM's runtime made its shard owners without telling them where to
- * find the other shards' summaries, so that no owner ever knew of another shard
- * to pass a request on to. The owner's own tests gave the summaries by hand.
+ * Guards against a request that one shard of a pool refuses (queue full, or
+ * shed) while another shard of the pool serves a lower tier. Here a burst of
+ * chat and then a burst of summaries fill both shards. The VM's runtime once
+ * created its shard owners without the other shards' summaries, so no owner
+ * could forward a request; the owner's unit tests supplied them by hand.
  */
 import { expect, it } from "vitest";
 import { Log, type LogFields, type LogLevel } from "../../src/process/log.ts";
@@ -16,8 +13,8 @@
 const USER = "kontrola_sever";
 const BURST = 20;
 
-it("passes requests on to the shard that serves a lower tier", async () => {
-  const log = new PassOnLog();
+it("forwards requests to the shard that serves a lower tier", async () => {
+  const log = new ForwardingLog();
   const world = await FuzzWorld.create({
     user: USER,
     vms: 3,
@@ -36,7 +33,7 @@
   const classIndex = listClasses(USER)
     .findIndex(({ name }) => name === className);
   for (let index = 0; index < BURST; index++) {
-    const life = world.listLives()[index % 3]!;
+    const vm = world.listLiveVms()[index % 3]!;
     const request = world.buildRequest({
       classIndex,
       workspaceIndex: 0,
@@ -45,12 +42,12 @@
       streamed: true,
       once: false,
     });
-    world.send(life, request);
+    world.send(vm, request);
   }
 }
 
-/** Counts requests that were passed on. */
-class PassOnLog extends Log {
+/** Counts forwarded requests. */
+class ForwardingLog extends Log {
   count = 0;
 
   override write(_level: LogLevel, event: string, fields: LogFields): void {
--- a/test/failures/stale_service_after_restart_test.ts
+++ b/test/failures/stale_service_after_restart_test.ts
@@ -1,11 +1,8 @@
 /**
- * Symptom: after a VM was replaced it refuses keys that were added yesterday.
- *
- * Sequence: version 5 is in force; the service goes back to an older state and
- * says that version 3 is the newest; a VM restarts with an empty memory.
- *
- * Cause: the new VM would take the service's word for the newest version. It
- * asks its peers first, and takes from the service only what is higher.
+ * Guards against a replaced VM that refuses recently added keys. Version 5 is
+ * in force, the service reverts to an older state and reports version 3 as the
+ * newest, and a VM restarts without any state. It must query its peers first,
+ * and apply only a higher version from the service.
  *
  * @module
  */
@@ -26,7 +23,7 @@
   return fleet.addVm(listed);
 }
 
-it("a restarted VM never has the stale version in force", async () => {
+it("a restarted VM never applies the stale version", async () => {
   const fleet = await startFleet({ count: 8 }, 5);
   fleet.service.putVersion(3, buildRecords(3));
   const restarted = restart(fleet, 2);
@@ -37,7 +34,7 @@
   expect(isEverywhere(fleet, 5)).toBe(true);
 });
 
-it("all VMs restarted one after another keep the version", async () => {
+it("VMs restarted one after another keep the version", async () => {
   const fleet = await startFleet({ count: 8 }, 5);
   fleet.service.putVersion(3, buildRecords(3));
   for (let index = 0; index < 8; index += 1) {
@@ -49,7 +46,7 @@
   }
 });
 
-it("a VM that restarts while its peers are slow has the version", async () => {
+it("a VM that restarts while its peers are slow applies the version", async () => {
   const fleet = await startFleet({ count: 4 }, 5);
   fleet.service.putVersion(3, buildRecords(3));
   const restarted = restart(fleet, 0);
@@ -62,7 +59,7 @@
   expect(versions).toEqual([5]);
 });
 
-it("a fleet whose every memory is lost serves what the service has", async () => {
+it("a fleet that lost all state applies the version of the service", async () => {
   const fleet = await startFleet({ count: 4 }, 5);
   fleet.service.putVersion(3, buildRecords(3));
   const listed = fleet.list().map((vm) => vm.listed);
--- a/test/failures/version_rejected_test.ts
+++ b/test/failures/version_rejected_test.ts
@@ -1,12 +1,8 @@
 /**
- * Symptom: after a bad publication some VMs serve the new version and some the
- * old one, or a VM serves none at all.
- *
- * Sequence: version 2 does not validate; VMs are in different states (one has
- * just started, one is behind, one reads later).
- *
- * Cause: a decision that depends on a VM's own state. Validation sees only the
- * version and its records; the last good version stays whole.
+ * Guards against VMs that apply different versions, or none, after an invalid
+ * version was published while the VMs are in different states (one has just
+ * started, one is behind, one reads later). Validation must depend only on the
+ * version and its records, and the last valid version stays in force.
  *
  * @module
  */
@@ -20,7 +16,7 @@
   startFleet,
 } from "../support/fleet_steps.ts";
 
-it("is rejected everywhere, once a VM, and the next good one taken", async () => {
+it("an invalid version is rejected once on each VM, and the next applied", async () => {
   const fleet = await startFleet({ count: 8 });
   const callsBefore = fleet.service.calls;
   fleet.service.putVersion(2, buildBadRecords(2));
@@ -32,13 +28,13 @@
     expect(rejected).toHaveLength(1);
     expect(rejected[0]!.problems[0]).toContain("requests_per_minute");
   }
-  // A rejected version is not read over and over.
+  // A rejected version is not read repeatedly.
   expect(fleet.service.calls - callsBefore).toBeLessThan(8 * 2 * 12 + 60);
   fleet.service.putVersion(3, buildRecords(3));
   await fleet.runUntil(() => isEverywhere(fleet, 3), 5_000);
 });
 
-it("does not keep a new VM from the last good one", async () => {
+it("a new VM applies the last valid version", async () => {
   const fleet = await startFleet({ count: 4 });
   fleet.service.putVersion(2, buildBadRecords(2));
   await fleet.clock.run(5_000);
@@ -51,7 +47,7 @@
   expect(versions).toEqual([1]);
 });
 
-it("becomes good only under a higher version", async () => {
+it("corrected records under the same number leave all VMs on one version", async () => {
   const fleet = await startFleet({ count: 8 });
   fleet.service.putVersion(2, buildBadRecords(2));
   await fleet.clock.run(5_000);
--- a/test/failures/vm_dead_test.ts
+++ b/test/failures/vm_dead_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: requests of one shard wait until their deadlines and nothing is in
- * the log; or VMs that are well are taken for dead and owners change to and fro.
- *
- * Sequence: a VM's process ends, or the VM goes silent; or messages get lost
- * while all VMs are well.
- *
- * Cause: the published list lags, so only probes tell; and one lost probe must
- * not be enough. A suspect has time to refute.
+ * Guards against requests that wait for the shard of a dead VM until their
+ * deadlines, and against healthy VMs considered dead because messages were
+ * lost, which makes owners flap. The published list lags, so only probes detect
+ * a dead or silent VM; one lost probe must not suffice, and a suspect gets time
+ * to refute the suspicion.
  *
  * @module
  */
@@ -30,26 +27,26 @@
   );
 }
 
-for (const how of ["killed", "silent"]) {
-  it(`a ${how} VM is noticed and its shards get one other owner`, async () => {
+for (const failure of ["killed", "silent"]) {
+  it(`a ${failure} VM is detected and its shards get one other owner`, async () => {
     const fleet = await startFleet({ count: 8 });
     const [owner] = listOwners(fleet, KEY);
     const index = Number(owner!.slice("vm-".length));
     expect(listOwners(fleet, KEY).size).toBe(1);
-    if (how === "killed") fleet.stopVm(owner!);
+    if (failure === "killed") fleet.stopVm(owner!);
     else silence(fleet, index);
     const others = fleet.list().filter((vm) => vm.listed.id !== owner);
-    const took = await fleet.runUntil(
+    const elapsedMs = await fleet.runUntil(
       () => others.every((vm) => !vm.membership.isReachable(owner!)),
       30_000,
     );
-    expect(took).toBeLessThan(6_000);
+    expect(elapsedMs).toBeLessThan(6_000);
     expect(listOwners(fleet, KEY, owner!).size).toBe(1);
     expect(listOwners(fleet, KEY, owner!)).not.toContain(owner);
   });
 }
 
-it("nobody is taken for dead while a tenth of the messages is lost", async () => {
+it("no VM is considered dead while a tenth of the messages is lost", async () => {
   const fleet = await startFleet({ count: 16, seed: 3 });
   fleet.network.setLossRate(0.1);
   let falseDeaths = 0;
@@ -71,21 +68,21 @@
   expect(getVm(fleet, 1).membership.isReachable(toVmId(0))).toBe(true);
 });
 
-it("another VM that answers at the address does not stand for it", async () => {
+it("another VM that answers at its address does not make a VM live", async () => {
   const fleet = await startFleet({ count: 8 });
-  const gone = toVmId(3);
-  fleet.stopVm(gone);
+  const stopped = toVmId(3);
+  fleet.stopVm(stopped);
   const other = getVm(fleet, 4);
-  fleet.network.addVm(gone, {
+  fleet.network.addVm(stopped, {
     probe: async (call: ProbeCall) => await other.prober.answerProbe(call),
   } as PeerApi);
   await fleet.clock.run(10_000);
   for (const vm of fleet.list()) {
-    expect(vm.membership.isReachable(gone)).toBe(false);
+    expect(vm.membership.isReachable(stopped)).toBe(false);
   }
 });
 
-it("a VM that comes back under its id is taken in at once", async () => {
+it("a VM that restarts under its id rejoins at once", async () => {
   const fleet = await startFleet({ count: 8 });
   const { listed } = getVm(fleet, 4);
   fleet.stopVm(listed.id);
@@ -94,22 +91,22 @@
   back.membership.start();
   back.follower.start();
   back.prober.start();
-  const took = await fleet.runUntil(
+  const elapsedMs = await fleet.runUntil(
     () => fleet.list().every((vm) => vm.membership.isReachable(listed.id)),
     10_000,
   );
-  expect(took).toBeLessThan(3_000);
+  expect(elapsedMs).toBeLessThan(3_000);
 });
 
-it("a VM that drains owns nothing any more, within a second", async () => {
+it("a draining VM stops owning shards within a second", async () => {
   const fleet = await startFleet({ count: 16 });
   const [owner] = listOwners(fleet, KEY);
   fleet.vms.get(owner!)!.prober.startDraining();
-  const took = await fleet.runUntil(() => {
+  const elapsedMs = await fleet.runUntil(() => {
     const owners = listOwners(fleet, KEY);
     return owners.size === 1 && !owners.has(owner);
   }, 10_000);
-  expect(took).toBeLessThan(2_000);
+  expect(elapsedMs).toBeLessThan(2_000);
   await fleet.clock.run(30_000);
   expect(listOwners(fleet, KEY)).not.toContain(owner);
 });
--- a/test/failures/vm_paused_test.ts
+++ b/test/failures/vm_paused_test.ts
@@ -1,12 +1,9 @@
 /**
- * Symptom: a replica has twice its slots; two VMs act as owner of one shard.
- *
- * Sequence: the owner's process is stopped, the others take its shards over,
- * the process goes on.
- *
- * Cause: it still believes what it believed before, and its timeouts seem to
- * have run out for all the others. It finds the gap by its monotonic clock, is
- * the owner of nothing, and hears of the fleet before it acts again.
+ * Guards against two VMs that act as owner of one shard, which grants twice the
+ * slots of a replica. The owner's process is stopped, the others take over its
+ * shards, and the process resumes with outdated member states, while its
+ * timeouts seem to have expired for all others. It must detect the gap by its
+ * monotonic clock, own nothing, and receive the fleet's state before it acts.
  *
  * @module
  */
@@ -28,7 +25,7 @@
   return owner!;
 }
 
-it("owns nothing until it has heard of the fleet", async () => {
+it("owns nothing until it has received the fleet's state", async () => {
   const fleet = await startFleet({ count: 8 });
   const owner = await pauseOwner(fleet, 15_000);
   const { membership } = fleet.vms.get(owner)!;
@@ -44,11 +41,11 @@
   );
 });
 
-it("finds the gap even before any of its timers has run", async () => {
+it("detects the gap even before any of its timers has run", async () => {
   const fleet = await startFleet({ count: 8 });
   const owner = await pauseOwner(fleet, 5_000);
   const { membership } = fleet.vms.get(owner)!;
-  // Still stopped: this is the first line that runs when it goes on.
+  // Still stopped: this is the first code that runs when it resumes.
   expect(membership.findOwner(KEY)).not.toBe(owner);
 });
 
@@ -57,14 +54,15 @@
   const owner = toVmId(0);
   const others = [1, 2, 3].map(toVmId);
   const { membership } = fleet.vms.get(owner)!;
-  // Long links, and one that is cut, so that many pauses come while probes
-  // through others are on their way.
+  // Slow links, and one that is cut, so that many pauses happen while indirect
+  // probes are in flight.
   for (const vm of others) fleet.network.setDelay(owner, vm, 90);
   fleet.network.cut(owner, others[0]!);
-  let doubts = 0;
+  let suspicions = 0;
   membership.onChange(() => {
-    const isDoubt = (vm: VmId) => membership.findSuspicion(vm) !== undefined;
-    if (others.some(isDoubt)) doubts += 1;
+    const isSuspected = (vm: VmId) =>
+      membership.findSuspicion(vm) !== undefined;
+    if (others.some(isSuspected)) suspicions += 1;
   });
   for (let pause = 0; pause < 40; pause += 1) {
     fleet.network.pause(owner);
@@ -72,10 +70,10 @@
     fleet.network.resume(owner);
     await fleet.clock.run(3_000 + 70 * pause);
   }
-  expect(doubts).toBe(0);
+  expect(suspicions).toBe(0);
 });
 
-it("gives a suspect its whole time again", async () => {
+it("restarts the suspicion timeout of a suspect", async () => {
   const fleet = await startFleet({ count: 8 });
   const [owner] = listOwners(fleet, KEY);
   const { membership } = fleet.vms.get(owner!)!;
@@ -89,20 +87,20 @@
   expect(membership.isReachable(suspect)).toBe(true);
 });
 
-it("has the newer configuration before it acts as an owner", async () => {
+it("applies the newer configuration before it acts as an owner", async () => {
   const fleet = await startFleet({ count: 8 });
   const [owner] = listOwners(fleet, KEY);
   const others = fleet.list().map((vm) => vm.listed.id).filter((vm) =>
     vm !== owner
   );
-  // Nothing waits for it that would tell it of the version at once.
+  // No message is queued for it that would carry the version at once.
   fleet.network.cutBetween([owner!], others);
   await pauseOwner(fleet, 5_000);
   fleet.service.reachableBy = new Set(others);
   fleet.service.putVersion(2, buildRecords(2));
   await fleet.clock.run(5_000);
   const { membership, follower } = fleet.vms.get(owner!)!;
-  // Long links, so that a fetch takes far more than a step of this test.
+  // Slow links, so that a fetch takes far longer than a step of this test.
   for (const vm of others) fleet.network.setDelay(owner!, vm, 50);
   fleet.network.heal();
   fleet.network.resume(owner!);
@@ -124,14 +122,14 @@
   await fleet.runUntil(() => membership.findOwner(KEY) === owner, 10_000);
 });
 
-it("half of the fleet paused and continued comes back", async () => {
+it("half of the fleet rejoins after a pause", async () => {
   const fleet = await startFleet({ count: 8 });
   const paused = [0, 1, 2, 3].map(toVmId);
   for (const vm of paused) fleet.network.pause(vm);
   await fleet.clock.run(20_000);
   for (const vm of paused) fleet.network.resume(vm);
   await fleet.runUntil(() => listOwners(fleet, KEY).size === 1, 15_000);
-  const took = await fleet.runUntil(
+  const elapsedMs = await fleet.runUntil(
     () =>
       fleet.list().every((vm) =>
         fleet.list().every((other) =>
@@ -140,5 +138,5 @@
       ),
     15_000,
   );
-  expect(took).toBeLessThan(15_000);
+  expect(elapsedMs).toBeLessThan(15_000);
 });
--- a/test/fuzz/disturbances.ts
+++ b/test/fuzz/disturbances.ts
@@ -1,11 +1,11 @@
 /**
- * What is wrong with the fleet at present, and since when nothing has been.
+ * The current disturbances of the fleet, and since when there has been none.
  *
  * @module
  */
 import type { Clock } from "../../src/process/clock.ts";
 
-/** Kinds of trouble that a command can make. */
+/** Kinds of disturbances that a command can cause. */
 export type Disturbance =
   | "link"
   | "loss"
@@ -17,7 +17,7 @@
   | "version"
   | "upstream";
 
-/** Notes when the last trouble of each kind was made or ended. */
+/** Records when the last disturbance of each kind began or ended. */
 export class Disturbances {
   readonly #clock: Clock;
   readonly #active = new Map<Disturbance, number>();
@@ -31,19 +31,19 @@
     return new Disturbances(clock);
   }
 
-  /** Trouble begins. */
+  /** Notes the begin of a disturbance. */
   add(kind: Disturbance): void {
     this.#active.set(kind, (this.#active.get(kind) ?? 0) + 1);
     this.note(kind);
   }
 
-  /** Trouble ends. */
+  /** Notes the end of a disturbance. */
   remove(kind: Disturbance): void {
     this.#active.set(kind, Math.max(0, (this.#active.get(kind) ?? 0) - 1));
     this.note(kind);
   }
 
-  /** Trouble of a moment. */
+  /** Notes a momentary disturbance. */
   note(kind: Disturbance): void {
     this.#lastAt.set(kind, this.#clock.now());
   }
@@ -53,8 +53,8 @@
     this.#active.clear();
   }
 
-  /** Since when there has been no trouble of `kinds`; Infinity while any. */
-  getCalmSince(kinds: readonly Disturbance[]): number {
+  /** Since when no disturbance of `kinds` was active; Infinity during one. */
+  getUndisturbedSince(kinds: readonly Disturbance[]): number {
     let since = 0;
     for (const kind of kinds) {
       if ((this.#active.get(kind) ?? 0) > 0) return Infinity;
--- a/test/fuzz/expect_promises.ts
+++ b/test/fuzz/expect_invariants.ts
@@ -1,5 +1,5 @@
 /**
- * What each of CI's fuzz files expects of its runs.
+ * The expectations that CI's fuzz tests share.
  *
  * @module
  */
@@ -10,11 +10,11 @@
 const RUNS = 500;
 const SHRINK_MS = 30_000;
 
-/** The longest that one file's runs may take, shrinking included. */
+/** Time-out of one file's runs, including shrinking. */
 export const FUZZ_TIMEOUT_MS = 300_000;
 
-/** What runs under faults must have met: else they would prove nothing. */
-export const MET_UNDER_FAULTS: readonly string[] = [
+/** Cases that runs under faults must cover to be conclusive. */
+export const COVERED_UNDER_FAULTS: readonly string[] = [
   "whole",
   "gone",
   "shed",
@@ -22,9 +22,9 @@
   "refused already_submitted",
 ];
 
-/** Runs a file's share of the fleet's fuzzing; fails on a broken promise. */
-export async function checkPromises(
-  options: { seed: number; profile: Profile; met: readonly string[] },
+/** Runs one file's share of the fuzzing; fails on a violated invariant. */
+export async function checkInvariants(
+  options: { seed: number; profile: Profile; covered: readonly string[] },
 ): Promise<void> {
   const report = await checkFleet({
     seed: options.seed,
@@ -34,7 +34,7 @@
   });
   expect(report.isBroken, report.text).toBe(false);
   expect(report.runs).toBe(RUNS);
-  for (const what of options.met) {
-    expect(report.met[what], what).toBeGreaterThan(0);
+  for (const what of options.covered) {
+    expect(report.covered[what], what).toBeGreaterThan(0);
   }
 }
--- a/test/fuzz/fleet_fuzz_2_test.ts
+++ b/test/fuzz/fleet_fuzz_2_test.ts
@@ -1,16 +1,16 @@
 import { it } from "vitest";
 import {
-  checkPromises,
+  checkInvariants,
+  COVERED_UNDER_FAULTS,
   FUZZ_TIMEOUT_MS,
-  MET_UNDER_FAULTS,
-} from "./expect_promises.ts";
+} from "./expect_invariants.ts";
 
 const SEED = 202;
 
-it("keeps every promise under faults", async () => {
-  await checkPromises({
+it("violates no invariant under faults", async () => {
+  await checkInvariants({
     seed: SEED,
     profile: "all",
-    met: MET_UNDER_FAULTS,
+    covered: COVERED_UNDER_FAULTS,
   });
 }, FUZZ_TIMEOUT_MS);
--- a/test/fuzz/fleet_load_test.ts
+++ b/test/fuzz/fleet_load_test.ts
@@ -1,12 +1,12 @@
 import { it } from "vitest";
-import { checkPromises, FUZZ_TIMEOUT_MS } from "./expect_promises.ts";
+import { checkInvariants, FUZZ_TIMEOUT_MS } from "./expect_invariants.ts";
 
 const SEED = 404;
 
-it("keeps every promise under load alone", async () => {
-  await checkPromises({
+it("violates no invariant under load without faults", async () => {
+  await checkInvariants({
     seed: SEED,
     profile: "load",
-    met: ["whole", "granted", "shed", "preempted"],
+    covered: ["whole", "granted", "shed", "preempted"],
   });
 }, FUZZ_TIMEOUT_MS);
--- a/test/fuzz/fleet_property.ts
+++ b/test/fuzz/fleet_property.ts
@@ -1,5 +1,5 @@
 /**
- * The property that every run keeps every promise, for tests and long runs.
+ * The property that no run violates an invariant, for tests and long runs.
  *
  * @module
  */
@@ -17,28 +17,28 @@
 
 export { PROFILES };
 
-/** What a check ran. */
+/** The result of a check. */
 export interface FleetReport {
   isBroken: boolean;
   runs: number;
-  /** The failing seed, the shrunk commands and the broken promises. */
+  /** The failing seed, the shrunk commands and the violated invariants. */
   text: string;
-  /** How often the runs met what the oracle checks. */
-  met: Record<string, number>;
+  /** How often the runs covered each case that the oracle checks. */
+  covered: Record<string, number>;
 }
 
-/** Runs `runs` sequences; a failing one is shrunk. */
+/** Runs `runs` command sequences and shrinks a failing one. */
 export async function checkFleet(
   options: {
     seed: number;
     runs: number;
     profile: Profile;
     path?: string;
-    /** How long a failing run may be shrunk, in milliseconds. */
+    /** Time limit for shrinking a failing run, in milliseconds. */
     shrinkMs: number;
   },
 ): Promise<FleetReport> {
-  const met: Record<string, number> = {};
+  const covered: Record<string, number> = {};
   const property = fc.asyncProperty(
     fc.record({
       user: fc.constantFrom(...USERS),
@@ -48,14 +48,14 @@
     buildCommands(options.profile),
     async (start, commands) => {
       const world = await runFuzz(start, commands as Iterable<FuzzCommand>);
-      noteMet(met, world);
+      noteCovered(covered, world);
     },
   );
   const first = await fc.check(property, {
     seed: options.seed,
     numRuns: options.runs,
     path: options.path,
-    // Shrinking takes hundreds of runs: it has a time of its own.
+    // Shrinking takes hundreds of runs, so it has its own time limit below.
     endOnFailure: true,
   });
   const details = first.failed
@@ -70,20 +70,20 @@
     runs: first.numRuns,
     text: first.failed
       ? `${details.errorInstance}\n${fc.defaultReportMessage(details)}`
-      : "No broken promise",
-    met,
+      : "No violated invariant",
+    covered,
   };
 }
 
-function noteMet(met: Record<string, number>, world: FuzzWorld): void {
+function noteCovered(covered: Record<string, number>, world: FuzzWorld): void {
   const add = (name: string, count: number) => {
-    met[name] = (met[name] ?? 0) + count;
+    covered[name] = (covered[name] ?? 0) + count;
   };
   for (const submission of world.submissions) {
     const end = readEnd(submission);
     add(end.kind === "refused" ? `refused ${end.code}` : end.kind, 1);
   }
-  for (const [name, count] of Object.entries(world.witness.counts)) {
+  for (const [name, count] of Object.entries(world.queueObserver.counts)) {
     add(name, count);
   }
   add("sends", world.upstreams.sends.length);
--- a/test/fuzz/fleet_upstreams_test.ts
+++ b/test/fuzz/fleet_upstreams_test.ts
@@ -1,16 +1,16 @@
 import { it } from "vitest";
 import {
-  checkPromises,
+  checkInvariants,
+  COVERED_UNDER_FAULTS,
   FUZZ_TIMEOUT_MS,
-  MET_UNDER_FAULTS,
-} from "./expect_promises.ts";
+} from "./expect_invariants.ts";
 
 const SEED = 505;
 
-it("keeps every promise under faults of upstreams", async () => {
-  await checkPromises({
+it("violates no invariant under upstream faults", async () => {
+  await checkInvariants({
     seed: SEED,
     profile: "upstreams",
-    met: MET_UNDER_FAULTS,
+    covered: COVERED_UNDER_FAULTS,
   });
 }, FUZZ_TIMEOUT_MS);
--- a/test/fuzz/fuzz_answer.ts
+++ b/test/fuzz/fuzz_answer.ts
@@ -1,5 +1,5 @@
 /**
- * What a caller of a fuzz run can take its answer for.
+ * Classifies the answers of a fuzz run as their callers can interpret them.
  *
  * @module
  */
@@ -20,20 +20,20 @@
 export type CallerEnd =
   | { kind: "whole" }
   | { kind: "refused"; code: string; outcome: string }
-  /** Broken off in a way that no caller can take for the whole. */
+  /** Cut visibly, so that no caller mistakes it for a complete answer. */
   | { kind: "cut" }
-  /** The caller left, or its VM's process ended. */
+  /** The caller disconnected, or its VM's process ended. */
   | { kind: "gone" }
   | { kind: "open" }
-  /** A lie: bytes that are not its own, or a part that passes for all. */
+  /** False: bytes of another answer, or a part that looks complete. */
   | { kind: "wrong"; detail: string };
 
-/** Reads what the caller of a submission got. */
+/** Classifies the answer that the caller of a submission got. */
 export function readEnd(submission: Submission): CallerEnd {
   const { sink, request } = submission;
   const parts = readParts(submission);
   if (parts.kind === "wrong") return parts;
-  if (sink.strays > 0) return toWrong("Bytes or an end came after the end");
+  if (sink.lateWrites > 0) return toWrong("Writes after the end of the answer");
   if (sink.state === "open") return { kind: "open" };
   if (sink.state === "left" || sink.state === "broken") {
     return { kind: "gone" };
@@ -41,11 +41,11 @@
   if (sink.state === "destroyed") return { kind: "cut" };
   if (parts.kind === "whole" || parts.kind === "refused") return parts;
   return toWrong(
-    `An answer of ${request.className} ended in its midst like a whole one`,
+    `An incomplete answer of ${request.className} ended like a complete one`,
   );
 }
 
-/** The id that the answer names. */
+/** Reads the request id from the answer's headers. */
 export function readRequestId(sink: FuzzSink): string | undefined {
   return sink.headers["x-request-id"];
 }
@@ -79,7 +79,7 @@
   });
   return isOwn
     ? { kind: "whole" }
-    : toWrong(`Answer ${sink.text} is not that of tag ${request.tag}`);
+    : toWrong(`Answer ${sink.text} does not belong to tag ${request.tag}`);
 }
 
 function readWhole(submission: Submission): Parts {
@@ -96,7 +96,7 @@
   let text = "";
   let isDone = false;
   let refusal: CallerEnd | undefined;
-  // What follows the last blank line is an event that has not come whole.
+  // The text after the last blank line is an incomplete event.
   const events = sink.text.split("\n\n").slice(0, -1);
   for (const event of events) {
     const data = event.slice(event.indexOf(DATA) + DATA.length);
@@ -106,7 +106,7 @@
     else if (event.startsWith(DATA)) {
       const chunk = JSON.parse(data);
       if (chunk.id !== readRequestId(sink)) {
-        return toWrong("An event with another request's id");
+        return toWrong("An event has another request's id");
       }
       text += chunk.choices[0]?.text ?? "";
     }
@@ -115,7 +115,7 @@
   return checked.kind === "part" ? refusal ?? checked : checked;
 }
 
-/** A resubmission may get the answer of the version that it first ran under. */
+/** A resubmission may get the answer of the version of its first execution. */
 function checkText(
   submission: Submission,
   text: string,
@@ -128,7 +128,7 @@
   });
   if (!isOwn) {
     return toWrong(
-      `Text of ${text.length} characters is not that of tag ${request.tag} ` +
+      `Text of ${text.length} characters does not match tag ${request.tag} ` +
         `under version ${versions().join(" or ")}`,
     );
   }
--- a/test/fuzz/fuzz_commands.ts
+++ b/test/fuzz/fuzz_commands.ts
@@ -1,6 +1,5 @@
 /**
- * What can happen to a fleet: fast-check commands, each an event with its
- * parameters.
+ * The events of a fuzz run as fast-check commands with parameters.
  *
  * @module
  */
@@ -15,36 +14,36 @@
 } from "./fuzz_faults.ts";
 import { getRank, listClasses, type RequestShape } from "./fuzz_request.ts";
 import type { FuzzWorld, Submission } from "./fuzz_world.ts";
-import type { VmLife } from "./vm_life.ts";
+import type { FuzzVm } from "./fuzz_vm.ts";
 
 const MAX_SUBMISSIONS = 60;
-const CREATED = 201;
-/** Requests of each of two classes that contend. */
-const CONTENDING = 6;
+const HTTP_CREATED = 201;
+/** Requests of each class of a "contend" event. */
+const CONTENDING_REQUESTS = 6;
 const LONG_TOKENS = 60;
-/** Presses: how often, how far apart, and how many requests each time. */
-const PRESSES = 28;
-const PRESS_EVERY_MS = 500;
-const PRESSING = 2;
-const PRESS_BELOW = 20;
+/** A "press" event: rounds, their interval, and requests in each round. */
+const PRESSURE_ROUNDS = 28;
+const PRESSURE_INTERVAL_MS = 500;
+const PRESSURE_REQUESTS = 2;
+const MAX_SUBMISSIONS_BEFORE_PRESSURE = 20;
 
-/** A choice of events; a key of `PROFILES`. */
+/** A selection of events; a key of `PROFILES`. */
 export type Profile = string;
 
-/** What callers do, and time. */
+/** An action of callers, or the passing of time. */
 export type CallerEvent =
   | { kind: "advance"; ms: number }
   | {
     kind: "arrive";
     vm: number;
     shape: RequestShape;
-    isTaken: boolean;
+    hasIssuedId: boolean;
     writeMs: number;
   }
   | { kind: "burst"; vm: number; shape: RequestShape; count: number }
-  /** A burst, and while it runs one of a higher tier. */
+  /** A burst of each model class, the lowest tier first. */
   | { kind: "contend"; vm: number; shape: RequestShape; waitMs: number }
-  /** The higher tier comes faster than it is served; the lower waits. */
+  /** The higher tier arrives faster than it is served; the lower waits. */
   | { kind: "press"; vm: number; shape: RequestShape }
   | { kind: "leave"; index: number }
   | { kind: "submit_again"; index: number; vm: number };
@@ -52,10 +51,10 @@
 /** Any event. */
 export type FuzzEvent = CallerEvent | FaultEvent;
 
-/** What the commands' preconditions look at. */
+/** The state that the commands' preconditions depend on. */
 export interface FuzzModel {
   submissions: number;
-  taken: number;
+  issued: number;
 }
 
 /** One event as a command of fast-check. */
@@ -76,13 +75,16 @@
       )
       .with(
         { kind: "contend" },
-        () => model.submissions + 2 * CONTENDING <= MAX_SUBMISSIONS,
+        () => model.submissions + 2 * CONTENDING_REQUESTS <= MAX_SUBMISSIONS,
+      )
+      .with(
+        { kind: "press" },
+        () => model.submissions < MAX_SUBMISSIONS_BEFORE_PRESSURE,
       )
-      .with({ kind: "press" }, () => model.submissions < PRESS_BELOW)
       .with({ kind: "leave" }, () => model.submissions > 0)
       .with(
         { kind: "submit_again" },
-        () => model.taken > 0 && model.submissions < MAX_SUBMISSIONS,
+        () => model.issued > 0 && model.submissions < MAX_SUBMISSIONS,
       )
       .otherwise(() => true);
   }
@@ -90,7 +92,7 @@
   async run(model: FuzzModel, world: FuzzWorld): Promise<void> {
     await applyEvent(this.event, world);
     model.submissions = world.submissions.length;
-    model.taken = listTaken(world).length;
+    model.issued = listWithIssuedId(world).length;
   }
 
   toString(): string {
@@ -98,7 +100,7 @@
   }
 }
 
-/** Sequences of events. */
+/** Builds the arbitrary of command sequences. */
 export function buildCommands(profile: Profile) {
   const { events, maxCommands } = PROFILES[profile]!;
   const commands = events
@@ -106,7 +108,7 @@
   return fc.commands(commands, { maxCommands, size: "max" });
 }
 
-/** Lets one event happen. */
+/** Applies one event. */
 async function applyEvent(
   event: FuzzEvent,
   world: FuzzWorld,
@@ -121,7 +123,7 @@
     case "contend":
       return await sendContending(world, event);
     case "press":
-      return await sendPressing(world, event);
+      return await sendPressure(world, event);
     case "leave":
       pickOne(world.submissions, event.index)?.sink.cancel();
       return;
@@ -132,7 +134,7 @@
   }
 }
 
-/** One of `items`, by a number from a command. */
+/** Picks one of `items` by a number of a command, modulo their count. */
 function pickOne<T>(items: readonly T[], index: number): T | undefined {
   return items.length === 0 ? undefined : items[index % items.length];
 }
@@ -155,7 +157,7 @@
   kind: fc.constant("arrive" as const),
   vm: VM,
   shape: SHAPE,
-  isTaken: fc.boolean(),
+  hasIssuedId: fc.boolean(),
   writeMs: fc.constantFrom(0, 0, 0, 5, 400),
 });
 const BURST = fc.record({
@@ -182,7 +184,7 @@
   vm: VM,
 });
 
-// Named more than once so that they come more often.
+// Repeated entries occur more often.
 const CALLERS: fc.Arbitrary<FuzzEvent>[] = [
   ADVANCE,
   ADVANCE,
@@ -205,7 +207,7 @@
   SUBMIT_AGAIN,
 ];
 
-/** Which events come: all, or load alone so that queues are put to the test. */
+/** All events, load alone to test the queues, or faults of upstreams alone. */
 export const PROFILES: Record<
   string,
   { events: fc.Arbitrary<FuzzEvent>[]; maxCommands: number }
@@ -222,38 +224,38 @@
   world: FuzzWorld,
   event: Extract<CallerEvent, { kind: "arrive" }>,
 ): Promise<void> {
-  const life = pickOne(world.listLives(), event.vm);
-  if (life === undefined) return;
+  const vm = pickOne(world.listLiveVms(), event.vm);
+  if (vm === undefined) return;
   const { writeMs, shape } = event;
   const request = world.buildRequest(shape);
-  if (event.isTaken && life.isUp) {
-    const sink = world.ask(life, {
+  if (event.hasIssuedId && vm.isUp) {
+    const sink = world.sendQuery(vm, {
       method: "POST",
       path: "/v1/requests",
       workspace: request.workspace,
     });
     await world.run(1);
-    if (sink.status !== CREATED) return;
-    request.takenId = JSON.parse(sink.text).request_id;
+    if (sink.status !== HTTP_CREATED) return;
+    request.issuedId = JSON.parse(sink.text).request_id;
   }
-  world.send(life, request, { writeMs });
+  world.send(vm, request, { writeMs });
 }
 
 function sendMany(
   world: FuzzWorld,
   event: Extract<CallerEvent, { kind: "burst" }>,
 ): void {
-  const lives = world.listLives();
+  const vms = world.listLiveVms();
   for (let index = 0; index < event.count; index++) {
-    const life: VmLife | undefined = pickOne(lives, event.vm + index);
-    if (life === undefined) return;
+    const vm: FuzzVm | undefined = pickOne(vms, event.vm + index);
+    if (vm === undefined) return;
     const workspaceIndex = event.shape.workspaceIndex + index % 2;
     const shape = { ...event.shape, workspaceIndex };
-    world.send(life, world.buildRequest(shape));
+    world.send(vm, world.buildRequest(shape));
   }
 }
 
-/** Indexes of the model classes, the lowest tier first. */
+/** Lists the indexes of the model classes, the lowest tier first. */
 function listModelClasses(user: User): number[] {
   return listClasses(user)
     .map((one, index) => ({ one, index, rank: getRank(user, one) }))
@@ -262,20 +264,25 @@
     .map(({ index }) => index);
 }
 
-async function sendPressing(
+async function sendPressure(
   world: FuzzWorld,
   event: Extract<CallerEvent, { kind: "press" }>,
 ): Promise<void> {
   const [low, high] = listModelClasses(world.user);
   const { vm } = event;
-  for (let presses = 0; presses < PRESSES; presses++) {
+  for (let round = 0; round < PRESSURE_ROUNDS; round++) {
     const shape = { ...event.shape, classIndex: high!, tokens: LONG_TOKENS };
-    sendMany(world, { kind: "burst", vm, shape, count: PRESSING });
-    if (presses % 9 === 1) {
+    sendMany(world, { kind: "burst", vm, shape, count: PRESSURE_REQUESTS });
+    if (round % 9 === 1) {
       const lower = { ...shape, classIndex: low! };
-      sendMany(world, { kind: "burst", vm, shape: lower, count: PRESSING });
+      sendMany(world, {
+        kind: "burst",
+        vm,
+        shape: lower,
+        count: PRESSURE_REQUESTS,
+      });
     }
-    await world.run(PRESS_EVERY_MS);
+    await world.run(PRESSURE_INTERVAL_MS);
   }
 }
 
@@ -286,7 +293,7 @@
   for (const index of listModelClasses(world.user)) {
     const shape = { ...event.shape, classIndex: index, tokens: LONG_TOKENS };
     const { vm } = event;
-    sendMany(world, { kind: "burst", vm, shape, count: CONTENDING });
+    sendMany(world, { kind: "burst", vm, shape, count: CONTENDING_REQUESTS });
     await world.run(event.waitMs);
   }
 }
@@ -295,13 +302,13 @@
   world: FuzzWorld,
   event: Extract<CallerEvent, { kind: "submit_again" }>,
 ): void {
-  const first = pickOne(listTaken(world), event.index);
-  const life = pickOne(world.listLives(), event.vm);
-  if (first === undefined || life === undefined) return;
-  world.send(life, first.request);
+  const first = pickOne(listWithIssuedId(world), event.index);
+  const vm = pickOne(world.listLiveVms(), event.vm);
+  if (first === undefined || vm === undefined) return;
+  world.send(vm, first.request);
 }
 
-function listTaken(world: FuzzWorld): Submission[] {
+function listWithIssuedId(world: FuzzWorld): Submission[] {
   return world.submissions
-    .filter(({ request }) => request.takenId !== undefined);
+    .filter(({ request }) => request.issuedId !== undefined);
 }
--- a/test/fuzz/fuzz_faults.ts
+++ b/test/fuzz/fuzz_faults.ts
@@ -1,5 +1,5 @@
 /**
- * Failures of VMs, links, upstreams and the platform, as events.
+ * Faults of VMs, links, upstreams and the platform as events.
  *
  * @module
  */
@@ -10,14 +10,14 @@
 import type { ListedVm } from "../../src/version/index.ts";
 import type { Disturbance } from "./disturbances.ts";
 import type { RequestShape } from "./fuzz_request.ts";
-import type { VmLife } from "./vm_life.ts";
+import type { FuzzVm } from "./fuzz_vm.ts";
 import type { FuzzWorld } from "./fuzz_world.ts";
 import type { FuzzService } from "./fuzz_upstreams.ts";
 
-/** A failure, or its end. */
+/** The begin or end of a fault. */
 export type FaultEvent =
   | { kind: "engine"; index: number; fault: EngineFault }
-  | { kind: "plain_service"; index: number; fault: PlainFault }
+  | { kind: "plain_service"; index: number; fault: PlainServiceFault }
   | { kind: "vm"; index: number; fault: VmFault }
   | { kind: "link"; from: number; to: number; fault: LinkFault }
   | { kind: "platform"; fault: PlatformFault }
@@ -41,7 +41,7 @@
 ] as const;
 type EngineFault = typeof ENGINE_FAULTS[number];
 
-const PLAIN_FAULTS = [
+const PLAIN_SERVICE_FAULTS = [
   "not_started",
   "cut_before",
   "cut_after",
@@ -52,7 +52,7 @@
   "down",
   "up",
 ] as const;
-type PlainFault = typeof PLAIN_FAULTS[number];
+type PlainServiceFault = typeof PLAIN_SERVICE_FAULTS[number];
 
 const VM_FAULTS = [
   "pause",
@@ -95,7 +95,7 @@
 const CRASH_TOKENS = 7;
 const SLOW_LINK_MS = 300;
 const PAST_LEASES_MS = 6_500;
-/** A call to another VM and its answer take 1 ms. */
+/** Times within a call to another VM, which takes 1 ms with its answer. */
 const BEFORE_PAUSE_MS = [0.2, 0.6, 0.9];
 const REQUESTS_BEFORE_PAUSE = 6;
 const SHORT_SHAPE: RequestShape = {
@@ -111,7 +111,7 @@
 
 const INDEX = fc.nat({ max: 9 });
 
-/** Arbitrary failures. */
+/** Arbitrary faults. */
 export const FAULTS: fc.Arbitrary<FaultEvent>[] = [
   fc.record({
     kind: fc.constant("engine" as const),
@@ -121,7 +121,7 @@
   fc.record({
     kind: fc.constant("plain_service" as const),
     index: INDEX,
-    fault: fc.constantFrom(...PLAIN_FAULTS),
+    fault: fc.constantFrom(...PLAIN_SERVICE_FAULTS),
   }),
   fc.record({
     kind: fc.constant("vm" as const),
@@ -145,14 +145,14 @@
   }),
 ];
 
-/** Failures of upstreams alone: VMs see each other well, and time is calm. */
+/** Faults of upstreams alone: VMs, links and clocks are undisturbed. */
 export const UPSTREAM_FAULTS: fc.Arbitrary<FaultEvent>[] = [
   FAULTS[0]!,
   FAULTS[1]!,
   FAULTS[5]!,
 ];
 
-/** Lets one failure begin or end. */
+/** Begins or ends one fault. */
 export async function applyFault(
   event: FaultEvent,
   world: FuzzWorld,
@@ -162,7 +162,7 @@
       applyEngineFault(world, index, fault);
     })
     .with({ kind: "plain_service" }, ({ index, fault }) => {
-      applyPlainFault(world, index, fault);
+      applyPlainServiceFault(world, index, fault);
     })
     .with({ kind: "vm" }, ({ index, fault }) => {
       return applyVmFault(world, index, fault);
@@ -177,7 +177,7 @@
     .exhaustive();
 }
 
-/** Ends every failure; paused VMs go on, ended ones are replaced. */
+/** Ends every fault and resumes paused VMs. */
 export function removeAllFaults(world: FuzzWorld): void {
   world.upstreams.removeFaults();
   world.network.heal();
@@ -187,13 +187,17 @@
   world.service.isDown = false;
   world.putList(world.list.vms.map((vm) => ({ ...vm, state: "live" })));
   world.putVersion(Math.max(...world.versions.keys()));
-  for (const life of world.listLives()) resumeLife(world, life.vm);
+  for (const vm of world.listLiveVms()) resumeVm(world, vm.id);
   world.leavingSince.clear();
   world.disturbances.clear();
-  for (const kind of EVERY_KIND) world.disturbances.note(kind);
+  for (const kind of ENDED_DISTURBANCES) world.disturbances.note(kind);
 }
 
-const EVERY_KIND: readonly Disturbance[] = ["upstream", "list", "version"];
+const ENDED_DISTURBANCES: readonly Disturbance[] = [
+  "upstream",
+  "list",
+  "version",
+];
 
 function applyEngineFault(
   world: FuzzWorld,
@@ -212,7 +216,7 @@
   match(fault)
     .with("crash", () => core.setCrashAfter(0))
     .with("crash_soon", () => core.setCrashAfter(CRASH_TOKENS))
-    .with("start_again", () => startAgain(core))
+    .with("start_again", () => restartEngine(core))
     .with("stall", () => core.setStall(STALL_MS))
     .with("silence", () => core.silenceRunningRequests())
     .with("silent_next", () => core.silenceNextRequests(1))
@@ -225,9 +229,9 @@
     .with("no_reports", () => unreported.add(id))
     .with("reports", () => unreported.delete(id))
     .with("leaving", () => {
-      const isHeard = !core.isCrashed && !unreported.has(id) &&
+      const isReported = !core.isCrashed && !unreported.has(id) &&
         core.options.loadLagMs < LATE_REPORTS_MS;
-      if (isHeard) noteLeaving(world, id);
+      if (isReported) noteLeaving(world, id);
       core.setLeaving(true);
     })
     .with("staying", () => {
@@ -237,7 +241,7 @@
     .exhaustive();
 }
 
-function startAgain(core: EngineCore): void {
+function restartEngine(core: EngineCore): void {
   if (core.isCrashed) core.restart();
 }
 
@@ -250,10 +254,10 @@
   world.leavingSince.set(id, world.clock.now());
 }
 
-function applyPlainFault(
+function applyPlainServiceFault(
   world: FuzzWorld,
   index: number,
-  fault: PlainFault,
+  fault: PlainServiceFault,
 ): void {
   const { services } = world.upstreams;
   const service = [...services.values()][index % services.size]!;
@@ -286,61 +290,61 @@
 ): Promise<void> {
   const entries = world.listEntries();
   const listed = entries[index % entries.length]!;
-  const life = world.findLife(listed.id);
+  const vm = world.findVm(listed.id);
   if (fault === "replace") {
-    if (life !== undefined) endLife(world, listed.id);
-    world.startLife(listed);
+    if (vm !== undefined) endVm(world, listed.id);
+    world.startVm(listed);
     return;
   }
-  if (life === undefined) return;
+  if (vm === undefined) return;
   await match(fault)
-    .with("pause", () => pauseLife(world, life))
-    .with("pause_past_leases", () => pausePastLeases(world, life, index))
-    .with("resume", () => resumeLife(world, life.vm))
-    .with("kill", () => endLife(world, life.vm))
+    .with("pause", () => pauseVm(world, vm))
+    .with("pause_past_leases", () => pausePastLeases(world, vm, index))
+    .with("resume", () => resumeVm(world, vm.id))
+    .with("kill", () => endVm(world, vm.id))
     .with("drain", async () => {
-      if (!life.isUp) return;
+      if (!vm.isUp) return;
       world.disturbances.note("drain");
-      void life.runtime.startDraining();
+      void vm.runtime.startDraining();
       await world.run(1);
     })
     .exhaustive();
 }
 
-/** The pause falls between a request's call for a slot and its answer. */
+/** Pauses the VM between a request's call for a slot and its answer. */
 async function pausePastLeases(
   world: FuzzWorld,
-  life: VmLife,
+  vm: FuzzVm,
   index: number,
 ): Promise<void> {
-  if (!life.isUp) return;
+  if (!vm.isUp) return;
   const shape = { ...SHORT_SHAPE, classIndex: index };
   for (let request = 0; request < REQUESTS_BEFORE_PAUSE; request++) {
-    world.send(life, world.buildRequest(shape));
+    world.send(vm, world.buildRequest(shape));
     await world.run(BEFORE_PAUSE_MS[index % BEFORE_PAUSE_MS.length]!);
   }
-  pauseLife(world, life);
+  pauseVm(world, vm);
   await world.run(PAST_LEASES_MS);
-  resumeLife(world, life.vm);
+  resumeVm(world, vm.id);
 }
 
-function pauseLife(world: FuzzWorld, life: VmLife): void {
-  if (life.isPaused) return;
-  life.pause();
+function pauseVm(world: FuzzWorld, vm: FuzzVm): void {
+  if (vm.isPaused) return;
+  vm.pause();
   world.disturbances.add("paused");
 }
 
-function resumeLife(world: FuzzWorld, vm: ListedVm["id"]): void {
-  const life = world.findLife(vm);
-  if (life === undefined || !life.isPaused) return;
-  life.resume();
+function resumeVm(world: FuzzWorld, id: ListedVm["id"]): void {
+  const vm = world.findVm(id);
+  if (vm === undefined || !vm.isPaused) return;
+  vm.resume();
   world.disturbances.remove("paused");
 }
 
-function endLife(world: FuzzWorld, vm: ListedVm["id"]): void {
-  const life = world.findLife(vm)!;
-  if (life.isPaused) world.disturbances.remove("paused");
-  life.destroy();
+function endVm(world: FuzzWorld, id: ListedVm["id"]): void {
+  const vm = world.findVm(id)!;
+  if (vm.isPaused) world.disturbances.remove("paused");
+  vm.destroy();
   world.disturbances.note("killed");
 }
 
@@ -415,7 +419,7 @@
     .exhaustive();
 }
 
-/** One after the other, so that answers with the first may come too late. */
+/** Publishes two versions, so that answers with the first may be late. */
 async function putTwoVersions(world: FuzzWorld, highest: number) {
   world.disturbances.add("link");
   const entries = world.listEntries();
@@ -430,7 +434,7 @@
   world.putVersion(highest + 2);
 }
 
-/** Upstreams leave by the list; entry VMs only get another revision. */
+/** Changes an upstream's state on the list, or only the list's revision. */
 function applyListFault(
   world: FuzzWorld,
   index: number,
--- a/test/fuzz/fuzz_oracle.ts
+++ b/test/fuzz/fuzz_oracle.ts
@@ -1,17 +1,17 @@
 /**
- * Checks every promise that a run can break, from what callers and upstreams
- * saw and from what is left in the VMs once all is quiet.
+ * Checks the invariants of a run by what callers and upstreams observed, and by
+ * the state that remains in the VMs once they are idle.
  *
  * @module
  */
 import { type CallerEnd, readEnd, readRequestId } from "./fuzz_answer.ts";
 import type { SendRecord } from "./fuzz_upstreams.ts";
 import type { FuzzWorld, Submission } from "./fuzz_world.ts";
-import type { QueueFault } from "./queue_witness.ts";
+import type { QueueViolation } from "./queue_observer.ts";
 
-/** A promise that a run can break. */
-export type PromiseName =
-  | QueueFault["promise"]
+/** An invariant that a run can violate. */
+export type Invariant =
+  | QueueViolation["invariant"]
   | "no_end"
   | "wrong_answer"
   | "false_not_run"
@@ -24,29 +24,29 @@
   | "sent_after_pause"
   | "false_fate";
 
-/** One broken promise. */
-export interface BrokenPromise {
-  promise: PromiseName;
+/** One violated invariant. */
+export interface Violation {
+  invariant: Invariant;
   detail: string;
 }
 
-/** "A few seconds" until an upstream that leaves gets no new work. */
-const LEAVING_MS = 5_000;
+/** "A few seconds" until a leaving upstream gets no new work. */
+const LEAVING_NOTICED_MS = 5_000;
 
-/** Checks that need no more than the records of the run. */
-export function findBrokenPromises(world: FuzzWorld): BrokenPromise[] {
+/** Runs the checks that need only the records of the run. */
+export function findViolations(world: FuzzWorld): Violation[] {
   return [
-    ...world.witness.faults,
+    ...world.queueObserver.violations,
     ...world.submissions.flatMap((one) => checkSubmission(world, one)),
-    ...findDoubled(world),
-    ...findSentAfterPause(world),
-    ...findReverted(world),
-    ...findOutdated(world),
+    ...findDuplicateExecutions(world),
+    ...findSendsAfterPause(world),
+    ...findRevertedVersions(world),
+    ...findOutdatedVersions(world),
     ...findLeaks(world),
   ];
 }
 
-/** Sends of a request, by its tag. */
+/** Lists the sends of a request by its tag. */
 export function listSends(world: FuzzWorld, tag: number): SendRecord[] {
   return world.upstreams.sends.filter((send) => send.tag === tag);
 }
@@ -54,25 +54,27 @@
 function checkSubmission(
   world: FuzzWorld,
   submission: Submission,
-): BrokenPromise[] {
+): Violation[] {
   const end = readEnd(submission);
   const name = formatName(submission);
-  const broken: BrokenPromise[] = [];
+  const broken: Violation[] = [];
   if (end.kind === "open") {
-    broken.push({ promise: "no_end", detail: `${name} never ended` });
+    broken.push({ invariant: "no_end", detail: `${name} never ended` });
   }
   if (end.kind === "wrong") {
     const detail = `${name}: ${end.detail}`;
-    broken.push({ promise: "wrong_answer", detail });
+    broken.push({ invariant: "wrong_answer", detail });
+  }
+  const falseNotRun = findFalseNotRun(world, submission, end);
+  if (falseNotRun !== undefined) {
+    broken.push({ invariant: "false_not_run", detail: falseNotRun });
   }
-  const lie = findFalseNotRun(world, submission, end);
-  if (lie !== undefined) broken.push({ promise: "false_not_run", detail: lie });
   return broken;
 }
 
 /**
- * "Not run" is a lie where an upstream began the request before it was said,
- * or begins it later for this very submission.
+ * Finds a false `not_run`: an upstream started the request before the refusal,
+ * or started it later for this very submission.
  */
 function findFalseNotRun(
   world: FuzzWorld,
@@ -80,23 +82,23 @@
   end: CallerEnd,
 ): string | undefined {
   if (end.kind !== "refused" || end.outcome !== "not_run") return undefined;
-  const { request, life, sink } = submission;
-  const saidAt = sink.headAt!;
+  const { request, vm, sink } = submission;
+  const refusedAt = sink.headAt!;
   const begun = listSends(world, request.tag).filter((send) => send.began);
-  const lie = begun.find((send) => {
-    if (send.at <= saidAt) return true;
+  const run = begun.find((send) => {
+    if (send.at <= refusedAt) return true;
     return !world.submissions.some((other) =>
       other !== submission && other.request === request &&
-      other.life.incarnation === send.incarnation &&
+      other.vm.incarnation === send.incarnation &&
       other.submittedAt <= send.at
     );
   });
-  if (lie === undefined) return undefined;
-  return `${formatName(submission)} was told not_run (${end.code}) by ` +
-    `${life.vm} at ${saidAt}, begun by ${lie.upstream} at ${lie.at}`;
+  if (run === undefined) return undefined;
+  return `${formatName(submission)} was refused as not_run (${end.code}) by ` +
+    `${vm.id} at ${refusedAt}, started by ${run.upstream} at ${run.at}`;
 }
 
-function findDoubled(world: FuzzWorld): BrokenPromise[] {
+function findDuplicateExecutions(world: FuzzWorld): Violation[] {
   const requests = new Set(world.submissions.map(({ request }) => request));
   return [...requests].flatMap((request) => {
     if (request.isIdempotent) return [];
@@ -106,47 +108,47 @@
     const detail = `${request.className} ${request.tag} ran at ${
       where.join(", ")
     }`;
-    return [{ promise: "doubled" as const, detail }];
+    return [{ invariant: "doubled" as const, detail }];
   });
 }
 
-/** A VM that was paused past its leases wakes without one to send under. */
-function findSentAfterPause(world: FuzzWorld): BrokenPromise[] {
-  return world.upstreams.sends.filter(({ wasLate }) => wasLate)
+/** A VM that was paused past its leases must not send when it resumes. */
+function findSendsAfterPause(world: FuzzWorld): Violation[] {
+  return world.upstreams.sends.filter(({ wasAfterPause }) => wasAfterPause)
     .map(({ tag, upstream, at }) => ({
-      promise: "sent_after_pause",
+      invariant: "sent_after_pause",
       detail: `Request ${tag} was sent to ${upstream} at ${at}`,
     }));
 }
 
-function findReverted(world: FuzzWorld): BrokenPromise[] {
-  return world.lives.flatMap((life) => {
-    const at = life.versions.findIndex((version, index) =>
-      index > 0 && version < life.versions[index - 1]!
+function findRevertedVersions(world: FuzzWorld): Violation[] {
+  return world.vms.flatMap((vm) => {
+    const at = vm.versions.findIndex((version, index) =>
+      index > 0 && version < vm.versions[index - 1]!
     );
     if (at < 0) return [];
-    const detail = `${life.vm} went ${life.versions.join(", ")}`;
-    return [{ promise: "version_reverted" as const, detail }];
+    const detail = `${vm.id} applied ${vm.versions.join(", ")}`;
+    return [{ invariant: "version_reverted" as const, detail }];
   });
 }
 
-/** All that live agree on the highest valid version that any could know. */
-function findOutdated(world: FuzzWorld): BrokenPromise[] {
-  const lives = world.listLives();
+/** All live VMs must apply the highest valid version that any can know. */
+function findOutdatedVersions(world: FuzzWorld): Violation[] {
+  const vms = world.listLiveVms();
   const highest = Math.max(...world.versions.keys());
-  const known = lives.map((life) => life.versions.at(-1) ?? 0);
+  const known = vms.map((vm) => vm.versions.at(-1) ?? 0);
   const isValid = world.versions.get(highest) === true;
   const expected = isValid ? highest : Math.max(0, ...known);
-  return lives.flatMap((life, index) => {
+  return vms.flatMap((vm, index) => {
     if (known[index] === expected) return [];
-    const detail = `${life.vm} has ${known[index]}, not ${expected}`;
-    return [{ promise: "version_not_in_force" as const, detail }];
+    const detail = `${vm.id} has version ${known[index]}, not ${expected}`;
+    return [{ invariant: "version_not_in_force" as const, detail }];
   });
 }
 
-/** Sends to upstreams that had left; asked while their leaving is known. */
-export function findWorkWhileLeaving(world: FuzzWorld): BrokenPromise[] {
-  const calmSince = world.disturbances.getCalmSince([
+/** Finds work that leaving upstreams started; checked before faults end. */
+export function findWorkWhileLeaving(world: FuzzWorld): Violation[] {
+  const undisturbedSince = world.disturbances.getUndisturbedSince([
     "link",
     "loss",
     "paused",
@@ -155,41 +157,42 @@
     "drain",
   ]);
   return [...world.leavingSince].flatMap(([upstream, since]) => {
-    const from = Math.max(since, calmSince) + LEAVING_MS;
+    const from = Math.max(since, undisturbedSince) + LEAVING_NOTICED_MS;
     const late = world.upstreams.sends.find((send) =>
       send.upstream === upstream && send.at > from && send.began
     );
     if (late === undefined) return [];
-    const detail = `${upstream} left at ${since} and began work at ${late.at}`;
-    return [{ promise: "work_while_leaving" as const, detail }];
+    const detail =
+      `${upstream} left at ${since} and started work at ${late.at}`;
+    return [{ invariant: "work_while_leaving" as const, detail }];
   });
 }
 
-function findLeaks(world: FuzzWorld): BrokenPromise[] {
+function findLeaks(world: FuzzWorld): Violation[] {
   const found: string[] = [];
   const expectNone = (count: number, what: string) => {
     if (count !== 0) found.push(`${count} ${what}`);
   };
-  for (const life of world.listLives()) {
-    const { runtime, vm, sinks } = life;
-    expectNone(runtime.inFlight, `requests in flight at ${vm}`);
-    expectNone(runtime.claims.unsettledCount, `settlements at ${vm}`);
-    expectNone(sinks.size, `callers at ${vm}`);
+  for (const vm of world.listLiveVms()) {
+    const { runtime, id, sinks } = vm;
+    expectNone(runtime.inFlight, `requests in flight at ${id}`);
+    expectNone(runtime.claims.unsettledCount, `settlements at ${id}`);
+    expectNone(sinks.size, `callers at ${id}`);
     for (const owner of runtime.owners.listOwners()) {
-      expectNone(owner.leaseCount, `leases of ${owner.shard} at ${vm}`);
-      expectNone(owner.waitingCount, `waiters of ${owner.shard} at ${vm}`);
+      expectNone(owner.leaseCount, `leases of ${owner.shard} at ${id}`);
+      expectNone(owner.waitingCount, `waiters of ${owner.shard} at ${id}`);
       const { room, slots } = owner.buildSummary();
-      expectNone(slots - room, `slots of ${owner.shard} not free at ${vm}`);
+      expectNone(slots - room, `slots of ${owner.shard} not free at ${id}`);
     }
   }
   for (const [id, core] of world.upstreams.engines) {
     expectNone(core.running + core.waiting, `runs at ${id}`);
   }
-  return found.map((detail) => ({ promise: "leak" as const, detail }));
+  return found.map((detail) => ({ invariant: "leak" as const, detail }));
 }
 
-/** What names a submission in a report. */
-export function formatName({ request, life, sink }: Submission): string {
-  const id = readRequestId(sink) ?? request.takenId ?? "";
-  return `${request.className} ${request.tag} at ${life.vm} ${id}`;
+/** Formats a submission's name for reports. */
+export function formatName({ request, vm, sink }: Submission): string {
+  const id = readRequestId(sink) ?? request.issuedId ?? "";
+  return `${request.className} ${request.tag} at ${vm.id} ${id}`;
 }
--- a/test/fuzz/fuzz_records.ts
+++ b/test/fuzz/fuzz_records.ts
@@ -1,6 +1,6 @@
 /**
- * The users' records made small: few replicas, slots and places in queues, so
- * that short runs meet every bound.
+ * Scaled-down records of the users: few replicas, slots and queue places, so
+ * that short runs reach every limit.
  *
  * @module
  */
@@ -16,10 +16,10 @@
 const QUEUE_LIMIT = 4;
 const MAX_WAIT_MS = 4_000;
 const MAX_TOTAL_MS = 20_000;
-/** Each version caps answers otherwise, so that the version kept shows. */
+/** Each version has its own output cap, so that answers show their version. */
 const BASE_CAP = 40;
 const CAP_STEPS = 8;
-/** Near enough to what a slot takes that preemption may pay. */
+/** Close enough to the duration of a slot for preemption to be worthwhile. */
 const FIRST_TOKEN_MS = 1_800;
 const SLOTS = { initial: 1, min: 1, max: 2 };
 const TIMEOUTS = {
@@ -34,7 +34,7 @@
 
 const EXAMPLES = new Map<User, ExampleRecords>();
 
-/** The examples of a user, read once a process. */
+/** The example records of a user, read once per process. */
 export function getExamples(user: User): ExampleRecords {
   const known = EXAMPLES.get(user);
   if (known !== undefined) return known;
@@ -43,36 +43,36 @@
   return examples;
 }
 
-/** The cap on the answers of model classes under `version`. */
+/** The output cap of model classes under `version`, in tokens. */
 export function getOutputCap(version: number): number {
   return BASE_CAP + version % CAP_STEPS;
 }
 
-/** The records of one version. */
+/** Builds the records of one version. */
 export function buildFuzzRecords(user: User, version: number): unknown[] {
   return getExamples(user).records
     .map((record) => convertRecord(record as RawRecord, version));
 }
 
-/** Records that no VM may take: a class names a tier that is not there. */
+/** Builds records that all VMs must reject: classes name missing tiers. */
 export function buildInvalidRecords(user: User, version: number): unknown[] {
   return buildFuzzRecords(user, version)
     .filter((record) => (record as RawRecord).kind !== "tier");
 }
 
-/** Entry VMs, engines and service replicas of a small fleet. */
+/** Builds the list of a small fleet: entry VMs, engines, service replicas. */
 export function buildFuzzList(user: User, entries: number): MembershipList {
   const { vms } = getExamples(user).list;
   const upstreams = vms.filter(({ role }) => role === "upstream");
   const { snapshot } = getExamples(user);
-  const isOf = (type: string) => (vm: ListedVm) =>
+  const isOfType = (type: string) => (vm: ListedVm) =>
     vm.pool !== undefined && snapshot.pools.get(vm.pool)?.type === type;
   return {
     revision: 1,
     vms: [
       ...vms.filter(({ role }) => role === "entry").slice(0, entries),
-      ...upstreams.filter(isOf("model")).slice(0, ENGINES),
-      ...upstreams.filter(isOf("service")).slice(0, SERVICES),
+      ...upstreams.filter(isOfType("model")).slice(0, ENGINES),
+      ...upstreams.filter(isOfType("service")).slice(0, SERVICES),
     ],
   };
 }
@@ -84,7 +84,7 @@
   return record;
 }
 
-/** With so few slots a cap would leave one free, and nothing to preempt. */
+/** Lifts the tier's slot cap: with so few slots it would prevent preemption. */
 function convertTier(record: RawRecord): RawRecord {
   return CAPPED_TIERS.includes(String(record["name"]))
     ? record
@@ -122,7 +122,7 @@
   const models = record["models"] as { replicas: number }[];
   return {
     ...record,
-    // More than one owner, so that requests are passed on between shards.
+    // More than one shard, so that owners forward requests to each other.
     shards: record["name"] === "assist" ? 2 : 1,
     models: models.map((model) => ({ ...model, replicas: ENGINES })),
     slots: SLOTS,
--- a/test/fuzz/fuzz_request.ts
+++ b/test/fuzz/fuzz_request.ts
@@ -1,5 +1,5 @@
 /**
- * The requests of a run, and what each must be answered.
+ * The requests of a run and their expected answers.
  *
  * @module
  */
@@ -11,24 +11,24 @@
 import { buildLookupBody } from "../../standin/service_core.ts";
 import { getExamples, getOutputCap } from "./fuzz_records.ts";
 
-/** Above every cap, so that the class's cap decides. */
-const ASKED_TOKENS = 400;
+/** Above every class's cap, so that the cap applies. */
+const REQUESTED_TOKENS = 400;
 const FILLER = "texto largo y claro ";
 
-/** How a caller asks. */
+/** The generated properties of a request. */
 export interface RequestShape {
-  /** Picks the class; taken modulo their number. */
+  /** Index of the class, modulo the number of classes. */
   classIndex: number;
   workspaceIndex: number;
-  /** Wanted length of a model's answer. */
+  /** Length of a model's answer, in tokens. */
   tokens: number;
   promptTokens: number;
   streamed: boolean;
-  /** Marks a model's request as not to be repeated. */
+  /** Marks a model's request as not idempotent. */
   once: boolean;
 }
 
-/** One request, however often it is submitted. */
+/** One request, which may be submitted more than once. */
 export interface FuzzRequest {
   tag: number;
   shape: RequestShape;
@@ -39,11 +39,11 @@
   pool: string;
   model: string;
   isIdempotent: boolean;
-  /** The id that was taken for it beforehand. */
-  takenId: string | undefined;
+  /** The id that the caller got for it before submitting, if any. */
+  issuedId: string | undefined;
 }
 
-/** Classes of a user in the order of `classIndex`. */
+/** Lists the classes of a user in the order of `classIndex`. */
 export function listClasses(user: User): RequestClass[] {
   return [...getExamples(user).snapshot.classes.values()];
 }
@@ -53,11 +53,11 @@
   return getClassRank(getExamples(user).snapshot, requestClass.name);
 }
 
-/** Makes a request of a shape. */
+/** Builds a request of a shape. */
 export function buildRequest(
   user: User,
   shape: RequestShape,
-  options: { tag: number; takenId: string | undefined },
+  options: { tag: number; issuedId: string | undefined },
 ): FuzzRequest {
   const { snapshot } = getExamples(user);
   const classes = listClasses(user);
@@ -79,7 +79,7 @@
   };
 }
 
-/** The request as a caller sends it. */
+/** Builds the call that submits a request. */
 export function buildCall(
   request: FuzzRequest,
   arrivedAt: number,
@@ -94,7 +94,7 @@
   };
 }
 
-/** A call without work, such as taking an id or asking for a fate. */
+/** Builds a call without work, such as for an id or a request's status. */
 export function buildPlainCall(
   method: string,
   path: string,
@@ -111,12 +111,12 @@
   };
 }
 
-/** The text that a model must answer under a configuration version. */
+/** Builds the expected text of a model under a configuration version. */
 export function buildExpectedText(
   request: FuzzRequest,
   version: number,
 ): string {
-  const maxTokens = Math.min(ASKED_TOKENS, getOutputCap(version));
+  const maxTokens = Math.min(REQUESTED_TOKENS, getOutputCap(version));
   const prompt = formatPrompt(request);
   const answer = EngineAnswer.create({
     prompt,
@@ -146,12 +146,12 @@
 }
 
 function buildHeaders(request: FuzzRequest): Record<string, string> {
-  const { takenId, shape, kind } = request;
+  const { issuedId, shape, kind } = request;
   return {
     ...buildKeyHeader(request.workspace),
     "content-type": "application/json",
     "x-request-class": request.className,
-    ...(takenId === undefined ? {} : { "x-request-id": takenId }),
+    ...(issuedId === undefined ? {} : { "x-request-id": issuedId }),
     ...(kind === "model" && shape.once ? { "x-idempotent": "false" } : {}),
   };
 }
@@ -161,7 +161,7 @@
     model: request.model,
     prompt: formatPrompt(request),
     stream: request.shape.streamed,
-    max_tokens: ASKED_TOKENS,
+    max_tokens: REQUESTED_TOKENS,
   };
   return {
     method: "POST",
--- a/test/fuzz/fuzz_sink.ts
+++ b/test/fuzz/fuzz_sink.ts
@@ -1,13 +1,12 @@
 /**
- * A caller that keeps all that it is told, reads as slowly as it likes, and
- * may go away.
+ * A caller that records its answer, may read slowly and may disconnect.
  *
  * @module
  */
 import type { Clock } from "../../src/process/clock.ts";
 import { CallerSink } from "../../src/request/caller_sink.ts";
 
-/** How the caller's connection came to its end. */
+/** The state of the caller's connection. */
 export type SinkEnd = "open" | "ended" | "destroyed" | "broken" | "left";
 
 /** One caller's side of one request. */
@@ -16,11 +15,11 @@
   headers: Record<string, string> = {};
   text = "";
   state: SinkEnd = "open";
-  /** When the answer's head, or the whole refusal, was given out. */
+  /** When the response head was written. */
   headAt: number | undefined;
   endedAt: number | undefined;
-  /** Writes and ends that came after the answer's end. */
-  strays = 0;
+  /** Writes and ends after the answer's end. */
+  lateWrites = 0;
   readonly #clock: Clock;
   readonly #writeMs: number;
   readonly #abort = new AbortController();
@@ -32,7 +31,7 @@
     this.#writeMs = writeMs;
   }
 
-  /** `writeMs` is what the caller takes to read each piece. */
+  /** Creates a caller that takes `writeMs` to read each chunk. */
   static create(clock: Clock, writeMs = 0): FuzzSink {
     return new FuzzSink(clock, writeMs);
   }
@@ -50,14 +49,14 @@
   }
 
   override writeHead(status: number, headers: Record<string, string>): void {
-    if (this.headWritten || !this.isOpen) return this.#noteStray();
+    if (this.headWritten || !this.isOpen) return this.#noteLateWrite();
     this.headAt = this.#clock.now();
     this.status = status;
     this.headers = headers;
   }
 
   override async write(bytes: Uint8Array): Promise<void> {
-    if (!this.isOpen) return this.#noteStray();
+    if (!this.isOpen) return this.#noteLateWrite();
     this.text += this.#decoder.decode(bytes, { stream: true });
     if (this.#writeMs > 0) {
       await this.#clock.sleep(this.#writeMs, this.signal);
@@ -66,7 +65,7 @@
 
   override end(): Promise<void> {
     if (this.isOpen) this.#close("ended");
-    else this.#noteStray();
+    else this.#noteLateWrite();
     return Promise.resolve();
   }
 
@@ -74,14 +73,14 @@
     this.#close("destroyed");
   }
 
-  /** The caller goes away; the router hears of it once it runs. */
+  /** Disconnects the caller; the router is notified once its process runs. */
   cancel(): void {
     if (!this.isOpen) return;
     this.#close("left");
     this.#clock.startTimer(0, () => this.#abort.abort());
   }
 
-  /** The router's process ended. */
+  /** Closes the connection because the router's process ended. */
   closeBroken(): void {
     this.#close("broken");
   }
@@ -92,8 +91,8 @@
     this.endedAt = this.#clock.now();
   }
 
-  /** After the caller left, or the process ended, anything may come. */
-  #noteStray(): void {
-    if (this.state === "ended" || this.state === "destroyed") this.strays++;
+  /** Writes after the caller left, or the process ended, are allowed. */
+  #noteLateWrite(): void {
+    if (this.state === "ended" || this.state === "destroyed") this.lateWrites++;
   }
 }
--- a/test/fuzz/fuzz_upstreams.ts
+++ b/test/fuzz/fuzz_upstreams.ts
@@ -1,6 +1,6 @@
 /**
  * Engines and service replicas in virtual time, with faults, and a record of
- * every request that one of them began.
+ * every request sent to them.
  *
  * @module
  */
@@ -38,21 +38,21 @@
   loadLagMs: 500,
 };
 
-/** One request as it reached an upstream. */
+/** One request that reached an upstream. */
 export interface SendRecord {
   tag: number;
   requestId: string;
   upstream: VmId;
-  /** The life that sent it. */
+  /** The incarnation that sent it. */
   incarnation: string;
   at: number;
-  /** Whether the upstream did anything of it. */
+  /** Whether the upstream started the request. */
   began: boolean;
-  /** Whether it was sent at the end of a pause past all leases. */
-  wasLate: boolean;
+  /** Whether it was sent on resuming from a pause past all leases. */
+  wasAfterPause: boolean;
 }
 
-/** A plain service's replica. */
+/** A replica of a service without model. */
 export interface FuzzService {
   core: ServiceCore;
   workMs: number;
@@ -60,22 +60,22 @@
   faults: ServiceFault[];
 }
 
-/** Who sends. */
+/** The sending process. */
 export interface Sender {
   readonly incarnation: string;
   readonly clock: Clock;
-  /** Whether it goes on at this moment, past all of its leases. */
+  /** Whether it resumes at this moment after all of its leases expired. */
   readonly hasLostLeases: boolean;
 }
 
-/** Every upstream of a run. */
+/** All upstreams of a run. */
 export class FuzzUpstreams {
   readonly engines = new Map<VmId, EngineCore>();
   readonly services = new Map<VmId, FuzzService>();
   readonly sends: SendRecord[] = [];
-  /** Headers of all answers of an upstream beside their own. */
+  /** Headers that are added to all answers of an upstream. */
   readonly extraHeaders = new Map<VmId, Record<string, string>>();
-  /** Engines whose reports nobody gets. */
+  /** Engines whose load reports fail. */
   readonly unreported = new Set<VmId>();
   readonly clock: VirtualClock;
 
@@ -110,7 +110,7 @@
     return new FuzzTransport(this, sender);
   }
 
-  /** Ends every fault, and lets crashed upstreams come back. */
+  /** Ends every fault and restarts crashed engines. */
   removeFaults(): void {
     this.unreported.clear();
     for (const core of this.engines.values()) {
@@ -127,7 +127,7 @@
   }
 }
 
-/** One VM's way to the upstreams; what it hears waits while it is paused. */
+/** One VM's transport to the upstreams; answers wait while it is paused. */
 export class FuzzTransport extends UpstreamTransport {
   readonly #upstreams: FuzzUpstreams;
   readonly #sender: Sender;
@@ -139,7 +139,7 @@
     this.#sender = sender;
   }
 
-  /** Ends every connection, as the end of the process does. */
+  /** Closes every connection, like the end of the process. */
   close(): void {
     this.#closed.abort();
   }
@@ -148,7 +148,7 @@
     const { clock, engines, services } = this.#upstreams;
     const signal = AbortSignal.any([call.signal, this.#closed.signal]);
     if (signal.aborted) throw createUpstreamError(call, "aborted", false);
-    const wasLate = this.#sender.hasLostLeases;
+    const wasAfterPause = this.#sender.hasLostLeases;
     await clock.sleep(DELAY_MS);
     const core = engines.get(call.upstream);
     const service = services.get(call.upstream);
@@ -167,7 +167,7 @@
       incarnation: this.#sender.incarnation,
       at: clock.now(),
       began: false,
-      wasLate,
+      wasAfterPause,
     };
     this.#upstreams.sends.push(record);
     const sent = { ...call, signal };
@@ -191,9 +191,9 @@
 
   override async sendCommand(
     upstream: VmId,
-    order: EngineCommand,
+    command: EngineCommand,
   ): Promise<boolean> {
-    return (await this.#fetchEngine(upstream)).applyCommand(order);
+    return (await this.#fetchEngine(upstream)).applyCommand(command);
   }
 
   override async copyCache(
@@ -271,7 +271,7 @@
       delayMs: DELAY_MS,
       onCancel,
     });
-    // Nobody awaits the head of a call whose sender is gone.
+    // The head of a call whose sender has ended is not awaited.
     pipe.answer.catch(() => {});
     if (call.signal.aborted) {
       const error = createUpstreamError(call, "aborted", true);
--- a/test/fuzz/vm_life.ts
+++ b/test/fuzz/fuzz_vm.ts
@@ -1,6 +1,6 @@
 /**
- * One life of an entry VM's process. After its end nothing of it is heard, and
- * nothing of it runs.
+ * One incarnation of an entry VM. After its end it sends nothing and runs no
+ * code.
  *
  * @module
  */
@@ -17,11 +17,11 @@
 import type { FuzzSink } from "./fuzz_sink.ts";
 import type { FuzzTransport, FuzzUpstreams } from "./fuzz_upstreams.ts";
 
-/** Small, so that bursts shed. */
+/** Small, so that bursts cause shedding. */
 const QUEUE_BOUND = 3;
 
-/** What a life begins with. */
-export interface LifeOptions {
+/** Options of an incarnation. */
+export interface FuzzVmOptions {
   self: ListedVm;
   number: number;
   seed: number;
@@ -32,15 +32,15 @@
   log: Log;
 }
 
-/** A process on an entry VM, from its start to its end. */
-export class VmLife {
+/** A process of an entry VM, from its start to its end. */
+export class FuzzVm {
   readonly self: ListedVm;
   readonly incarnation: Incarnation;
-  readonly clock: LifeClock;
+  readonly clock: FuzzVmClock;
   readonly runtime: VmRuntime;
   readonly transport: FuzzTransport;
   readonly sinks = new Set<FuzzSink>();
-  /** Versions in force, each as it was first seen. */
+  /** The versions that the VM applied, in order. */
   readonly versions: number[] = [];
   #pausedAt: number | undefined;
   #resumedAt = -1;
@@ -48,13 +48,13 @@
   #isDead = false;
   readonly #network: VirtualNetwork;
 
-  constructor(options: LifeOptions) {
+  constructor(options: FuzzVmOptions) {
     const { self, network, upstreams, seeds, log } = options;
     const isDead = () => this.#isDead;
     this.self = self;
     this.incarnation = toId(`i${options.number}`);
     this.#network = network;
-    this.clock = LifeClock.create(network.createClock(self.id), isDead);
+    this.clock = FuzzVmClock.create(network.createClock(self.id), isDead);
     this.transport = upstreams.createTransport(this);
     this.runtime = VmRuntime.create({
       environment: {
@@ -64,7 +64,7 @@
         clock: this.clock,
         random: SeededRandom.create(options.seed),
         log,
-        peers: new LifeDirectory(network.createDirectory(self.id), isDead),
+        peers: new FuzzVmPeers(network.createDirectory(self.id), isDead),
         upstreams: this.transport,
       },
       self,
@@ -75,11 +75,11 @@
     network.addVm(self.id, stopAfterEnd(this.runtime.api, isDead));
   }
 
-  static create(options: LifeOptions): VmLife {
-    return new VmLife(options);
+  static create(options: FuzzVmOptions): FuzzVm {
+    return new FuzzVm(options);
   }
 
-  get vm(): VmId {
+  get id(): VmId {
     return this.self.id;
   }
 
@@ -91,54 +91,54 @@
     return this.#pausedAt !== undefined;
   }
 
-  /** Whether the process goes on at this moment, past all of its leases. */
+  /** Whether the process resumes at this moment after all leases expired. */
   get hasLostLeases(): boolean {
     return this.#resumedAt === this.clock.now() &&
       this.#pausedMs > LEASE_TTL_MS;
   }
 
-  /** Stops the process as SIGSTOP does. */
+  /** Pauses the process like SIGSTOP. */
   pause(): void {
     this.#pausedAt = this.clock.now();
-    this.#network.pause(this.vm);
+    this.#network.pause(this.id);
   }
 
-  /** Lets it go on; what waited happens now. */
+  /** Resumes the process and runs what is due. */
   resume(): void {
     if (this.#pausedAt === undefined) return;
     this.#resumedAt = this.clock.now();
     this.#pausedMs = this.#resumedAt - this.#pausedAt;
     this.#pausedAt = undefined;
-    this.#network.resume(this.vm);
+    this.#network.resume(this.id);
   }
 
-  /** Whether the process runs now. */
+  /** Whether the process is running, neither paused nor ended. */
   get isUp(): boolean {
     return !this.#isDead && !this.isPaused;
   }
 
-  /** Takes the version in force down, where it is another than before. */
+  /** Records the version in force if it has changed. */
   noteVersion(): void {
     const version = this.runtime.getSnapshot()?.version ?? 0;
     if (version !== (this.versions.at(-1) ?? 0)) this.versions.push(version);
   }
 
-  /** Ends the process at once, with all of its connections. */
+  /** Ends the process and all of its connections at once. */
   destroy(): void {
     this.#isDead = true;
     this.#pausedAt = undefined;
-    this.#network.removeVm(this.vm);
+    this.#network.removeVm(this.id);
     for (const sink of this.sinks) sink.closeBroken();
     this.transport.close();
     this.runtime.stop();
   }
 }
 
-/** Timers of one life; none fires after its end. */
-export class LifeClock extends Clock {
+/** The timers of one incarnation; none fires after its end. */
+export class FuzzVmClock extends Clock {
   readonly #clock: Clock;
   readonly #isDead: () => boolean;
-  /** Timers that have neither fired nor been stopped. */
+  /** Timers that have neither fired nor been cancelled. */
   pending = 0;
 
   constructor(clock: Clock, isDead: () => boolean) {
@@ -147,8 +147,8 @@
     this.#isDead = isDead;
   }
 
-  static create(clock: Clock, isDead: () => boolean): LifeClock {
-    return new LifeClock(clock, isDead);
+  static create(clock: Clock, isDead: () => boolean): FuzzVmClock {
+    return new FuzzVmClock(clock, isDead);
   }
 
   override now(): number {
@@ -178,7 +178,7 @@
   }
 }
 
-class LifeDirectory extends PeerDirectory {
+class FuzzVmPeers extends PeerDirectory {
   readonly #directory: PeerDirectory;
   readonly #isDead: () => boolean;
 
@@ -193,7 +193,7 @@
   }
 }
 
-/** Calls neither start nor end once the process is dead. */
+/** Makes calls neither start nor complete once the process has ended. */
 function stopAfterEnd(api: PeerApi, isDead: () => boolean): PeerApi {
   return new Proxy(api, {
     get(target, name) {
--- a/test/fuzz/fuzz_world.ts
+++ b/test/fuzz/fuzz_world.ts
@@ -1,6 +1,6 @@
 /**
- * A small fleet in virtual time that commands act upon, with a record of all
- * that callers and upstreams saw.
+ * A small fleet in virtual time that commands act on, with a record of what
+ * callers and upstreams observed.
  *
  * @module
  */
@@ -32,18 +32,18 @@
 } from "./fuzz_request.ts";
 import { FuzzSink } from "./fuzz_sink.ts";
 import { FuzzUpstreams } from "./fuzz_upstreams.ts";
-import { QueueWitness } from "./queue_witness.ts";
-import { VmLife } from "./vm_life.ts";
+import { QueueObserver } from "./queue_observer.ts";
+import { FuzzVm } from "./fuzz_vm.ts";
 
 const WARM_UP_MS = 4_000;
 const STEP_MS = 500;
 const PEER_TIMEOUT_MS = 1_000;
 
-/** What a world is made with. */
+/** Options of a world. */
 export interface WorldOptions {
   user: User;
   seed: number;
-  /** Entry VMs. */
+  /** Number of entry VMs. */
   vms: number;
   log?: Log;
 }
@@ -51,12 +51,12 @@
 /** One submission of a request at one VM. */
 export interface Submission {
   request: FuzzRequest;
-  life: VmLife;
+  vm: FuzzVm;
   sink: FuzzSink;
   submittedAt: number;
   /** When the VM began to handle it; undefined while it was paused. */
   handledAt: number | undefined;
-  /** The version in force at the VM then. */
+  /** The version in force at the VM at that time. */
   version: number | undefined;
   isHandled: boolean;
   /** Versions under which the request may have been admitted. */
@@ -66,21 +66,21 @@
 /** The fleet, its upstreams, its platform and its callers. */
 export class FuzzWorld {
   readonly user: User;
-  // Its least timer: a rest below the rounding of the time would be waited for
-  // again and again at one moment, and the run would never end.
+  // This clock has a minimum timer: a delay below the rounding of the time
+  // would be scheduled repeatedly at one moment, and the run would never end.
   readonly clock = BenchClock.create();
   readonly network: VirtualNetwork;
   readonly service: VirtualService;
   readonly upstreams: FuzzUpstreams;
-  readonly witness: QueueWitness;
+  readonly queueObserver: QueueObserver;
   readonly disturbances: Disturbances;
   readonly random: SeededRandom;
-  /** Every life, the ended ones too. */
-  readonly lives: VmLife[] = [];
+  /** Every incarnation of an entry VM, including ended ones. */
+  readonly vms: FuzzVm[] = [];
   readonly submissions: Submission[] = [];
   /** Published versions, and whether they are valid. */
   readonly versions = new Map<number, boolean>();
-  /** Since when each upstream that leaves can be known to. */
+  /** Since when VMs can know of each leaving upstream. */
   readonly leavingSince = new Map<VmId, number>();
   list: MembershipList;
   readonly #log: Log;
@@ -96,8 +96,8 @@
     });
     this.service = new VirtualService(this.clock);
     this.disturbances = Disturbances.create(this.clock);
-    this.witness = QueueWitness.create(this.clock);
-    this.#log = WitnessedLog.create(options, this.witness);
+    this.queueObserver = QueueObserver.create(this.clock);
+    this.#log = ObservedLog.create(options, this.queueObserver);
     this.list = buildFuzzList(options.user, options.vms);
     this.upstreams = new FuzzUpstreams({
       clock: this.clock,
@@ -109,10 +109,10 @@
     this.putVersion(1);
   }
 
-  /** A fleet that is up and knows its first configuration. */
+  /** Creates a running fleet that has applied its first configuration. */
   static async create(options: WorldOptions): Promise<FuzzWorld> {
     const world = new FuzzWorld(options);
-    for (const vm of world.listEntries()) world.startLife(vm);
+    for (const vm of world.listEntries()) world.startVm(vm);
     await world.run(WARM_UP_MS);
     return world;
   }
@@ -121,16 +121,16 @@
     return this.list.vms.filter(({ role }) => role === "entry");
   }
 
-  /** The lives that have not ended. */
-  listLives(): VmLife[] {
-    return this.lives.filter((life) => !life.isDead);
+  /** Lists the incarnations that have not ended. */
+  listLiveVms(): FuzzVm[] {
+    return this.vms.filter((vm) => !vm.isDead);
   }
 
-  findLife(vm: VmId): VmLife | undefined {
-    return this.listLives().find((life) => life.vm === vm);
+  findVm(id: VmId): FuzzVm | undefined {
+    return this.listLiveVms().find((vm) => vm.id === id);
   }
 
-  /** Lets time pass, and takes down what the VMs have in force. */
+  /** Advances the time and records the versions in force at the VMs. */
   async run(ms: number): Promise<void> {
     for (let left = ms; left > 0; left -= STEP_MS) {
       await this.clock.run(Math.min(left, STEP_MS));
@@ -139,14 +139,14 @@
   }
 
   noteState(): void {
-    for (const life of this.listLives()) life.noteVersion();
-    this.witness.checkWaits(this.disturbances);
+    for (const vm of this.listLiveVms()) vm.noteVersion();
+    this.queueObserver.checkWaits(this.disturbances);
   }
 
-  startLife(self: ListedVm): VmLife {
-    const life = VmLife.create({
+  startVm(self: ListedVm): FuzzVm {
+    const vm = FuzzVm.create({
       self,
-      number: this.lives.length + 1,
+      number: this.vms.length + 1,
       seed: this.random.nextInt(2 ** 31),
       network: this.network,
       upstreams: this.upstreams,
@@ -154,13 +154,13 @@
       buildSource: (clock) => this.service.createSource(self.id, clock),
       log: this.#log,
     });
-    this.witness.watch(life);
-    this.lives.push(life);
-    life.runtime.start();
-    return life;
+    this.queueObserver.watch(vm);
+    this.vms.push(vm);
+    vm.runtime.start();
+    return vm;
   }
 
-  /** Publishes a version, a new one or one that was published before. */
+  /** Publishes a new version, or one that was published before. */
   putVersion(version: number, isValid = true): void {
     const known = this.versions.get(version) ?? isValid;
     this.versions.set(version, known);
@@ -176,22 +176,22 @@
     this.service.putList(this.list.revision, vms);
   }
 
-  /** Makes a request that no other is like. */
+  /** Builds a request with a unique tag. */
   buildRequest(shape: RequestShape): FuzzRequest {
     const tag = ++this.#tags;
-    return buildRequest(this.user, shape, { tag, takenId: undefined });
+    return buildRequest(this.user, shape, { tag, issuedId: undefined });
   }
 
-  /** Submits a request at a VM, the first time or again. */
+  /** Submits or resubmits a request to a VM. */
   send(
-    life: VmLife,
+    vm: FuzzVm,
     request: FuzzRequest,
     options: { writeMs?: number } = {},
   ): Submission {
-    const sink = FuzzSink.create(life.clock, options.writeMs);
+    const sink = FuzzSink.create(vm.clock, options.writeMs);
     const submission: Submission = {
       request,
-      life,
+      vm,
       sink,
       submittedAt: this.clock.now(),
       handledAt: undefined,
@@ -200,24 +200,24 @@
       versions: () => this.#listVersions(request),
     };
     this.submissions.push(submission);
-    life.sinks.add(sink);
-    life.clock.startTimer(0, () => void this.#handle(submission));
+    vm.sinks.add(sink);
+    vm.clock.startTimer(0, () => void this.#handle(submission));
     return submission;
   }
 
-  /** Asks a VM something that is answered in JSON. */
-  ask(
-    life: VmLife,
+  /** Sends a VM a query that it answers in JSON. */
+  sendQuery(
+    vm: FuzzVm,
     call: { method: string; path: string; workspace: string },
   ): FuzzSink {
-    const sink = FuzzSink.create(life.clock);
+    const sink = FuzzSink.create(vm.clock);
     const request = buildPlainCall(call.method, call.path, call.workspace);
-    void life.runtime.handle(request, sink);
+    void vm.runtime.handle(request, sink);
     return sink;
   }
 
   close(): void {
-    for (const life of this.listLives()) life.destroy();
+    for (const vm of this.listLiveVms()) vm.destroy();
   }
 
   #listVersions(request: FuzzRequest): number[] {
@@ -228,40 +228,43 @@
   }
 
   async #handle(submission: Submission): Promise<void> {
-    const { life, sink, request } = submission;
+    const { vm, sink, request } = submission;
     if (!sink.isOpen) {
-      life.sinks.delete(sink);
+      vm.sinks.delete(sink);
       return;
     }
     submission.handledAt = this.clock.now();
-    submission.version = life.runtime.getSnapshot()?.version ?? 0;
-    const call = buildCall(request, life.clock.now());
-    await life.runtime.handle(call, sink);
+    submission.version = vm.runtime.getSnapshot()?.version ?? 0;
+    const call = buildCall(request, vm.clock.now());
+    await vm.runtime.handle(call, sink);
     submission.isHandled = true;
-    life.sinks.delete(sink);
+    vm.sinks.delete(sink);
   }
 }
 
-/** Passes every line on, and preemptions to the witness. */
-class WitnessedLog extends Log {
+/** Forwards every line to a log, and preemptions to the observer. */
+class ObservedLog extends Log {
   readonly #options: WorldOptions;
-  readonly #witness: QueueWitness;
+  readonly #queueObserver: QueueObserver;
   readonly #log: Log;
 
-  constructor(options: WorldOptions, witness: QueueWitness) {
+  constructor(options: WorldOptions, queueObserver: QueueObserver) {
     super();
     this.#options = options;
-    this.#witness = witness;
+    this.#queueObserver = queueObserver;
     this.#log = options.log ?? SilentLog.create();
   }
 
-  static create(options: WorldOptions, witness: QueueWitness): WitnessedLog {
-    return new WitnessedLog(options, witness);
+  static create(
+    options: WorldOptions,
+    queueObserver: QueueObserver,
+  ): ObservedLog {
+    return new ObservedLog(options, queueObserver);
   }
 
   override write(level: LogLevel, event: string, fields: LogFields): void {
     this.#log.write(level, event, fields);
     if (event !== "lease_preempted") return;
-    this.#witness.notePreemption(this.#options.user, fields);
+    this.#queueObserver.notePreemption(this.#options.user, fields);
   }
 }
--- a/test/fuzz/queue_witness.ts
+++ b/test/fuzz/queue_observer.ts
@@ -1,6 +1,6 @@
 /**
- * Watches the calls at the owners of shards: who waits, who is granted, who is
- * shed or preempted, in what order.
+ * Observes the calls to shard owners: which requests wait, are granted, shed or
+ * preempted, and in what order.
  *
  * @module
  */
@@ -17,10 +17,10 @@
 import { getClassRank } from "../../src/version/records.ts";
 import type { Disturbance, Disturbances } from "./disturbances.ts";
 import { getRank, listClasses } from "./fuzz_request.ts";
-import type { VmLife } from "./vm_life.ts";
+import type { FuzzVm } from "./fuzz_vm.ts";
 
-/** What may hold an owner up beside the load. */
-const HOLD_UPS: readonly Disturbance[] = [
+/** Disturbances that may delay an owner besides the load. */
+const DELAYING_DISTURBANCES: readonly Disturbance[] = [
   "link",
   "loss",
   "paused",
@@ -30,23 +30,23 @@
   "version",
   "upstream",
 ];
-/** A preemption is heard of at the holder's next renewal, or never. */
-const PREEMPTION_LIFE_MS = 7_000;
-/** Time for a takeover, settling and one slot. */
-const SLACK_MS = 6_000;
+/** A holder learns of a preemption at its next renewal, or not at all. */
+const PREEMPTION_NOTICE_MS = 7_000;
+/** Tolerance for a takeover, its settling and one slot. */
+const WAIT_TOLERANCE_MS = 6_000;
 
-/** A broken rule, as it was seen. */
-export interface QueueFault {
-  promise: "higher_tier_shed" | "preempted_for_lower_tier" | "starved";
+/** A violated scheduling rule. */
+export interface QueueViolation {
+  invariant: "higher_tier_shed" | "preempted_for_lower_tier" | "starved";
   detail: string;
 }
 
 interface WaitingTicket {
-  life: VmLife;
+  vm: FuzzVm;
   call: AcquireCall;
   rank: number;
   since: number;
-  /** Whether a call of the ticket is held by the owner at present. */
+  /** Whether the owner currently holds a call of the ticket. */
   isHeld: boolean;
   seenAt: number;
 }
@@ -56,13 +56,13 @@
   rank: number;
   className: string;
   shard: string;
-  life: VmLife;
+  vm: FuzzVm;
 }
 
-/** Sees every call that reaches an owner. */
-export class QueueWitness {
-  readonly faults: QueueFault[] = [];
-  /** Counts, so that a run shows that it met what it checks. */
+/** Observes every call that reaches an owner. */
+export class QueueObserver {
+  readonly violations: QueueViolation[] = [];
+  /** Counts that show which cases a run covered. */
   readonly counts = { granted: 0, shed: 0, preempted: 0 };
   readonly #clock: Clock;
   readonly #waiting = new Map<string, WaitingTicket>();
@@ -70,7 +70,7 @@
   readonly #preempted = new Set<string>();
   /** By owner and shard: when each rank last had a request waiting. */
   readonly #waitedAt = new Map<string, Map<number, number>>();
-  /** By owner and upstream: the rank whose slot was just given back. */
+  /** By owner and upstream: the rank whose slot was just released. */
   readonly #freed = new Map<string, { rank: number; at: number }>();
   /** By owner and class: the last grant or refusal, or the first wait. */
   readonly #progressAt = new Map<string, number>();
@@ -79,81 +79,83 @@
     this.#clock = clock;
   }
 
-  static create(clock: Clock): QueueWitness {
-    return new QueueWitness(clock);
+  static create(clock: Clock): QueueObserver {
+    return new QueueObserver(clock);
   }
 
-  /** Puts itself before the owners of a life. */
-  watch(life: VmLife): void {
-    const { owners } = life.runtime;
+  /** Wraps the shard owners of a VM. */
+  watch(vm: FuzzVm): void {
+    const { owners } = vm.runtime;
     const acquire = owners.acquire.bind(owners);
     const sync = owners.syncLeases.bind(owners);
     owners.acquire = async (call) => {
-      const key = this.#noteCall(life, call);
+      const key = this.#noteCall(vm, call);
       const answer = await acquire(call);
       this.#noteAnswer(key, answer);
       return answer;
     };
     owners.syncLeases = (call) => {
-      this.#noteReturns(life, call);
+      this.#noteReleases(vm, call);
       const answer = sync(call);
-      this.#noteSync(life, call, answer);
+      this.#noteSync(vm, call, answer);
       return answer;
     };
   }
 
-  /** Hears an owner's own word of whom it takes a slot from, and for whom. */
+  /** Checks the classes of a preemption that an owner logged. */
   notePreemption(user: User, fields: LogFields): void {
-    const taken = getRankOf(user, fields["class"]);
-    const taker = getRankOf(user, fields["for_class"]);
-    if (taker < taken) return;
-    this.faults.push({
-      promise: "preempted_for_lower_tier",
+    const preempted = getRankOf(user, fields["class"]);
+    const preempting = getRankOf(user, fields["for_class"]);
+    if (preempting < preempted) return;
+    this.violations.push({
+      invariant: "preempted_for_lower_tier",
       detail: `${fields["class"]} was preempted for ${fields["for_class"]}`,
     });
   }
 
-  /** Whether the head of a class waits longer than its bound in calm times. */
+  /** Checks undisturbed waits of each class against its bound. */
   checkWaits(disturbances: Disturbances): void {
     const now = this.#clock.now();
-    const calmSince = disturbances.getCalmSince(HOLD_UPS);
+    const undisturbedSince = disturbances.getUndisturbedSince(
+      DELAYING_DISTURBANCES,
+    );
     for (const ticket of this.#waiting.values()) this.#noteWaiting(ticket);
     for (const [key, ticket] of this.#waiting) {
-      if (ticket.life.isDead || now - ticket.seenAt > 5_000) {
+      if (ticket.vm.isDead || now - ticket.seenAt > 5_000) {
         this.#waiting.delete(key);
         continue;
       }
-      this.#checkWait(ticket, { now, calmSince });
+      this.#checkWait(ticket, { now, undisturbedSince });
     }
   }
 
   #checkWait(
     ticket: WaitingTicket,
-    times: { now: number; calmSince: number },
+    times: { now: number; undisturbedSince: number },
   ): void {
-    const { life, call } = ticket;
+    const { vm, call } = ticket;
     const className = call.className;
-    const requestClass = life.runtime.getSnapshot()?.classes.get(className);
+    const requestClass = vm.runtime.getSnapshot()?.classes.get(className);
     if (requestClass === undefined || !ticket.isHeld) return;
     const progressAt = this.#progressAt.get(formatClassKey(ticket)) ?? 0;
-    const since = Math.max(ticket.since, progressAt, times.calmSince);
+    const since = Math.max(ticket.since, progressAt, times.undisturbedSince);
     const waitedMs = times.now - since;
-    if (waitedMs <= requestClass.maxWaitMs + SLACK_MS) return;
-    this.faults.push({
-      promise: "starved",
-      detail: `${className} at ${life.vm} had no progress for ${waitedMs} ms`,
+    if (waitedMs <= requestClass.maxWaitMs + WAIT_TOLERANCE_MS) return;
+    this.violations.push({
+      invariant: "starved",
+      detail: `${className} at ${vm.id} made no progress for ${waitedMs} ms`,
     });
     this.#progressAt.set(formatClassKey(ticket), times.now);
   }
 
-  #noteCall(life: VmLife, call: AcquireCall): string {
-    const key = `${life.incarnation} ${call.ticket}`;
+  #noteCall(vm: FuzzVm, call: AcquireCall): string {
+    const key = `${vm.incarnation} ${call.ticket}`;
     const now = this.#clock.now();
     const known = this.#waiting.get(key);
-    const snapshot = life.runtime.getSnapshot();
+    const snapshot = vm.runtime.getSnapshot();
     const rank = snapshot ? getClassRank(snapshot, call.className) : 0;
     const since = known?.since ?? now;
-    const ticket = { life, call, rank, since, isHeld: true, seenAt: now };
+    const ticket = { vm, call, rank, since, isHeld: true, seenAt: now };
     this.#waiting.set(key, ticket);
     this.#noteWaiting(ticket);
     return key;
@@ -181,95 +183,96 @@
   }
 
   #noteWaiting(ticket: WaitingTicket): void {
-    const key = `${ticket.life.incarnation} ${ticket.call.shard}`;
+    const key = `${ticket.vm.incarnation} ${ticket.call.shard}`;
     const byRank = this.#waitedAt.get(key) ?? new Map<number, number>();
     this.#waitedAt.set(key, byRank);
     byRank.set(ticket.rank, this.#clock.now());
   }
 
   #noteGrant(ticket: WaitingTicket, slot: SlotLease): void {
-    const { rank, life, call } = ticket;
+    const { rank, vm, call } = ticket;
     const { lease, upstream, shard } = slot;
     const { className } = call;
-    this.#leases.set(lease, { rank, life, className, shard, upstream });
-    const freedKey = `${life.incarnation} ${upstream}`;
+    this.#leases.set(lease, { rank, vm, className, shard, upstream });
+    const freedKey = `${vm.incarnation} ${upstream}`;
     const freed = this.#freed.get(freedKey);
     this.#freed.delete(freedKey);
     if (freed === undefined || freed.at !== this.#clock.now()) return;
     if (rank <= freed.rank) return;
-    const higher = this.#listAt(life, shard)
+    const higher = this.#listAt(vm, shard)
       .find((other) => other.rank < freed.rank && other.isHeld);
     if (higher === undefined) return;
-    this.faults.push({
-      promise: "preempted_for_lower_tier",
-      detail: `A slot of rank ${freed.rank} was taken back at ${life.vm} and ` +
-        `given to ${className} while ${higher.call.className} waited`,
+    this.violations.push({
+      invariant: "preempted_for_lower_tier",
+      detail: `A slot of rank ${freed.rank} was preempted at ${vm.id} and ` +
+        `granted to ${className} while ${higher.call.className} waited`,
     });
   }
 
-  /** Nothing of a lower tier may have been waiting all the while. */
+  /** Checks that no request of a lower tier was waiting before the shed one. */
   #checkShed(shed: WaitingTicket): void {
     const now = this.#clock.now();
-    const favoured = this.#listAt(shed.life, shed.call.shard).find((other) =>
+    const lower = this.#listAt(shed.vm, shed.call.shard).find((other) =>
       other.isHeld && other.since < now && other.rank > shed.rank
     );
-    if (favoured === undefined) return;
-    this.faults.push({
-      promise: "higher_tier_shed",
-      detail: `${shed.call.className} was shed at ${shed.life.vm} while ` +
-        `${favoured.call.className} waited`,
+    if (lower === undefined) return;
+    this.violations.push({
+      invariant: "higher_tier_shed",
+      detail: `${shed.call.className} was shed at ${shed.vm.id} while ` +
+        `${lower.call.className} waited`,
     });
   }
 
-  #noteSync(life: VmLife, call: SyncCall, answer: SyncAnswer): void {
+  #noteSync(vm: FuzzVm, call: SyncCall, answer: SyncAnswer): void {
     for (const lease of answer.preempt) {
       if (this.#preempted.has(lease)) continue;
       this.#preempted.add(lease);
       this.counts.preempted++;
-      this.#checkPreempted(life, lease);
+      this.#checkPreemption(vm, lease);
     }
     for (const ticket of call.withdrawn) {
-      this.#waiting.delete(`${life.incarnation} ${ticket}`);
+      this.#waiting.delete(`${vm.incarnation} ${ticket}`);
     }
   }
 
-  /** Before the owner hears of them: the slots that preemption gives back. */
-  #noteReturns(life: VmLife, call: SyncCall): void {
+  /** Notes slots released by preemption, before the owner handles the call. */
+  #noteReleases(vm: FuzzVm, call: SyncCall): void {
     for (const { lease, state, upstream } of call.news) {
       const known = this.#leases.get(lease);
       if (state === "running" || !this.#preempted.has(lease)) continue;
-      if (known === undefined || known.life !== life) continue;
+      if (known === undefined || known.vm !== vm) continue;
       const freed = { rank: known.rank, at: this.#clock.now() };
-      this.#freed.set(`${life.incarnation} ${upstream}`, freed);
+      this.#freed.set(`${vm.incarnation} ${upstream}`, freed);
     }
   }
 
-  /** A request of a higher tier must have been there to have the slot. */
-  #checkPreempted(life: VmLife, lease: string): void {
-    const taken = this.#leases.get(lease);
-    if (taken === undefined || taken.life !== life) return;
-    const since = this.#clock.now() - PREEMPTION_LIFE_MS;
-    const byRank = this.#waitedAt.get(`${life.incarnation} ${taken.shard}`);
+  /** Checks that a request of a higher tier was waiting for the slot. */
+  #checkPreemption(vm: FuzzVm, lease: string): void {
+    const preempted = this.#leases.get(lease);
+    if (preempted === undefined || preempted.vm !== vm) return;
+    const since = this.#clock.now() - PREEMPTION_NOTICE_MS;
+    const byRank = this.#waitedAt.get(`${vm.incarnation} ${preempted.shard}`);
     const hasHigher = [...byRank ?? []]
-      .some(([rank, at]) => rank < taken.rank && at >= since);
+      .some(([rank, at]) => rank < preempted.rank && at >= since);
     if (hasHigher) return;
-    this.faults.push({
-      promise: "preempted_for_lower_tier",
-      detail: `${taken.className} was preempted at ${life.vm} and nothing of ` +
-        "a higher tier had waited",
+    this.violations.push({
+      invariant: "preempted_for_lower_tier",
+      detail:
+        `${preempted.className} was preempted at ${vm.id} and no request ` +
+        "of a higher tier had waited",
     });
   }
 
-  #listAt(life: VmLife, shard: string): WaitingTicket[] {
+  #listAt(vm: FuzzVm, shard: string): WaitingTicket[] {
     return [...this.#waiting.values()].filter((ticket) =>
-      ticket.life === life && ticket.call.shard === shard
+      ticket.vm === vm && ticket.call.shard === shard
     );
   }
 }
 
 function formatClassKey(ticket: WaitingTicket): string {
-  const { life, call } = ticket;
-  return `${life.incarnation} ${call.shard} ${call.className}`;
+  const { vm, call } = ticket;
+  return `${vm.incarnation} ${call.shard} ${call.className}`;
 }
 
 function getRankOf(user: User, className: unknown): number {
--- a/test/lint/verbs_test.ts
+++ b/test/lint/verbs_test.ts
@@ -4,14 +4,14 @@
 
 const PAGE = readFileSync("docs/VERBS.md", "utf8");
 
-test("docs/VERBS.md lists the verbs that the linter takes", () => {
+test("docs/VERBS.md lists the verbs that the linter accepts", () => {
   const documented = [...PAGE.matchAll(/^\| `([a-z]+)`/gm)].map((row) =>
     row[1]
   );
   expect(documented).toEqual(VERBS);
 });
 
-test("docs/VERBS.md names the names that are free", () => {
+test("docs/VERBS.md lists the exempt names", () => {
   for (const name of ALLOWED_NAMES) expect(PAGE).toContain(`\`${name}\``);
 });
 
--- a/test/request/completion_test.ts
+++ b/test/request/completion_test.ts
@@ -51,7 +51,7 @@
 }
 
 function listSteps(vm: RequestVm, requestId: string): string[] {
-  const status = vm.fates.find(toId<RequestId>(requestId));
+  const status = vm.requestStatuses.find(toId<RequestId>(requestId));
   return status!.steps.map((step) => step.step);
 }
 
@@ -381,7 +381,7 @@
     await done;
     expect(sink.isWhole).toBe(true);
     const id = toId<RequestId>(sink.headers["x-request-id"]!);
-    expect(vm.fates.find(id)!.configVersion).toBe(3);
+    expect(vm.requestStatuses.find(id)!.configVersion).toBe(3);
   });
 
   it("forwards a 400 of the engine", async () => {
--- a/test/request/engine_http_test.ts
+++ b/test/request/engine_http_test.ts
@@ -73,7 +73,7 @@
     const resumed = engines[1]!.core.listRuns(id)[0]!;
     expect(resumed.resumedFrom).toBeGreaterThan(0);
     expect(resumed.tokens).toBe(40 - resumed.resumedFrom);
-    expect(vm.fates.find(toId<RequestId>(id))).toMatchObject({
+    expect(vm.requestStatuses.find(toId<RequestId>(id))).toMatchObject({
       outcome: "answered",
       tokens: 40,
     });
--- a/test/request/service_test.ts
+++ b/test/request/service_test.ts
@@ -182,6 +182,6 @@
     });
     expect(vm.leases.leases[0]!.state).toBe("unused");
     const id = toId<RequestId>(sink.headers["x-request-id"]!);
-    expect(vm.fates.find(id)).toMatchObject({ outcome: "not_run" });
+    expect(vm.requestStatuses.find(id)).toMatchObject({ outcome: "not_run" });
   });
 });
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,5 +1,5 @@
 /**
- * Randomized soaks of the real daemon: `npm run soak -- --seed N --minutes M`.
+ * Randomized soak tests of the daemon: `npm run soak -- --seed N --minutes M`.
  *
  * @module
  */
@@ -12,20 +12,27 @@
 const LARGEST_SEED = 1_000_000;
 
 const options = await yargs(hideBin(process.argv))
-  .option("seed", { type: "number", describe: "A fresh one by default" })
+  .option("seed", {
+    type: "number",
+    describe: "Seed of the first soak; random by default",
+  })
   .option("seeds", {
     type: "number",
     default: 1,
-    describe: "How many in a row",
+    describe: "Number of consecutive seeds",
+  })
+  .option("minutes", {
+    type: "number",
+    default: 1,
+    describe: "Duration for each seed",
   })
-  .option("minutes", { type: "number", default: 1, describe: "Of each seed" })
   .option("vms", { type: "number", default: 4 })
   .option("replicas", { type: "number", default: 3 })
   .option("callers", { type: "number", default: 12 })
   .strict()
   .parseAsync();
 
-// By an exit, so that the processes of the soak are ended with it.
+// An explicit exit, so that the exit handlers end the soak's processes.
 for (const signal of ["SIGINT", "SIGTERM"] as const) {
   process.on(signal, () => process.exit(1));
 }
--- a/test/soak/run_soak.ts
+++ b/test/soak/run_soak.ts
@@ -1,5 +1,5 @@
 /**
- * One soak: a fleet, its callers, the faults of a seed, and the checks.
+ * Runs one soak: a fleet, its callers, the faults of a seed, and the checks.
  *
  * @module
  */
@@ -8,19 +8,19 @@
 import { waitUntil } from "../support/process_fleet.ts";
 import { SOAK_ROUTES, SoakCaller } from "./soak_callers.ts";
 import { SoakFleet } from "./soak_fleet.ts";
-import { type BrokenPromise, listBroken } from "./soak_oracle.ts";
+import { listViolations, type Violation } from "./soak_oracle.ts";
 import { buildPlan } from "./soak_plan.ts";
 
-/** All VMs serve so long after the last fault, in milliseconds. */
-const RECOVERED_WITHIN_MS = 15_000;
-const READY_WITHIN_MS = 30_000;
-const TICK_MS = 20;
-/** Timers that fire so late show a machine without a free processor, in ms. */
-const BUSY_MS = 150;
-/** Runs that callers gave up on end within so long, in milliseconds. */
+/** Time for all VMs to serve again after the last fault. */
+const RECOVERY_TIMEOUT_MS = 15_000;
+const READY_TIMEOUT_MS = 30_000;
+const TIMER_INTERVAL_MS = 20;
+/** Timers this late indicate that the machine has no free processor. */
+const BUSY_LATENESS_MS = 150;
+/** Time for runs to end after their callers disconnected. */
 const SETTLE_MS = 1_000;
 
-/** What a soak is. */
+/** Options of a soak. */
 export interface SoakOptions {
   seed: number;
   forMs: number;
@@ -29,26 +29,26 @@
   callers: number;
 }
 
-/** What came of it. */
+/** The result of a soak. */
 export interface SoakReport {
   requests: number;
-  /** Requests by status; 0 where no answer began. */
+  /** Number of requests by HTTP status; 0 where no answer began. */
   statuses: Record<string, number>;
   faults: Record<string, number>;
-  /** By how much this machine's timers were late at most, in milliseconds. */
+  /** The greatest lateness of a timer of this process, in milliseconds. */
   mostLateMs: number;
   broken: { promise: string; detail: string }[];
-  /** The ends of the VMs' logs, where something was broken. */
+  /** The last lines of the VMs' logs if a check failed, else empty. */
   logs: string;
 }
 
-/** Runs one soak; rejects only where the soak itself cannot run. */
+/** Runs one soak; rejects only if the soak itself cannot run. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const fleet = await SoakFleet.create(options);
   try {
     await waitUntil(
       "a fleet that serves",
-      READY_WITHIN_MS,
+      READY_TIMEOUT_MS,
       () => isServing(fleet, SeededRandom.create(options.seed)),
     );
     return await runFaults(fleet, options);
@@ -80,7 +80,7 @@
     "poison",
   );
   calls.push(poison.runPoison(() => performance.now() >= endsAt));
-  const ended = watchEnds(fleet);
+  const ended = watchExits(fleet);
   const startedAt = endsAt - options.forMs;
   const faults = plan.map(async ({ at, fault }) => {
     await sleep(Math.max(0, startedAt + at - performance.now()));
@@ -95,7 +95,7 @@
   await sleep(SETTLE_MS);
   broken.push(
     ...ended.list(),
-    ...listBroken({
+    ...listViolations({
       requests,
       runs: fleet.countRuns(),
       revoked: fleet.revoked,
@@ -105,7 +105,7 @@
       backOffs: fleet.backOffs.list(),
       isStoreDisturbed: (from, to) => fleet.isStoreDisturbed(from, to),
       isMachineBusy: machine.isBusy,
-    }) satisfies BrokenPromise[],
+    }) satisfies Violation[],
   );
   return {
     requests: requests.length,
@@ -127,16 +127,19 @@
   try {
     await waitUntil(
       "all VMs to serve",
-      RECOVERED_WITHIN_MS,
+      RECOVERY_TIMEOUT_MS,
       () => isServing(fleet, random),
     );
     return [];
   } catch (thrown) {
-    return [{ promise: "all serve after the faults", detail: String(thrown) }];
+    return [{
+      promise: "all VMs serve after the faults",
+      detail: String(thrown),
+    }];
   }
 }
 
-/** Whether each VM answers a request of each kind. */
+/** Whether each VM answers a request on each route. */
 async function isServing(
   fleet: SoakFleet,
   random: SeededRandom,
@@ -152,8 +155,8 @@
   return answers.every(({ status, isWhole }) => status === 200 && isWhole);
 }
 
-/** Notes processes that end without having been told to. */
-function watchEnds(fleet: SoakFleet) {
+/** Records processes that exit without being told to. */
+function watchExits(fleet: SoakFleet) {
   const ended = new Map<string, string>();
   const timer = setInterval(() => {
     for (const vm of fleet.vms) {
@@ -165,24 +168,24 @@
     stop: () => clearInterval(timer),
     list: () =>
       [...ended].map(([name, log]) => ({
-        promise: "no process ends by itself",
+        promise: "no process exits by itself",
         detail: `${name}: ${log}`,
       })),
   };
 }
 
 /**
- * Notes when timers of this process fire late: then other work has the
- * processors, and no time that the daemons take says anything of them.
+ * Records when timers of this process fire late: other work then occupies the
+ * processors, so delays of the daemons are no evidence of a fault.
  */
 function watchMachine() {
   const late: { at: number; ms: number }[] = [];
-  let dueAt = performance.now() + TICK_MS;
+  let dueAt = performance.now() + TIMER_INTERVAL_MS;
   const timer = setInterval(() => {
     const now = performance.now();
-    if (now - dueAt > BUSY_MS) late.push({ at: now, ms: now - dueAt });
-    dueAt = now + TICK_MS;
-  }, TICK_MS);
+    if (now - dueAt > BUSY_LATENESS_MS) late.push({ at: now, ms: now - dueAt });
+    dueAt = now + TIMER_INTERVAL_MS;
+  }, TIMER_INTERVAL_MS);
   return {
     stop: () => clearInterval(timer),
     getMostLateMs: () => Math.round(Math.max(0, ...late.map(({ ms }) => ms))),
--- a/test/soak/soak_back_offs.ts
+++ b/test/soak/soak_back_offs.ts
@@ -1,6 +1,6 @@
 /**
- * Replicas of a soak that turn requests away and ask for a time without any,
- * and what they got in that time.
+ * Replicas of a soak that refuse requests with a back-off time, and the
+ * requests that they received during the back-off.
  *
  * @module
  */
@@ -9,31 +9,31 @@
 import { listArrivals } from "./soak_leaving.ts";
 
 const HEADER = "retry-after";
-/** Requests in hand may still arrive so long after a refusal. */
-const IN_HAND_MS = 500;
-/** What a VM may still send a replica that asked it to back off. */
-const MOST_REPEATS = 2;
+/** Requests in flight may still arrive this long after a refusal. */
+const IN_FLIGHT_MS = 500;
+/** Requests that a VM may still send a replica during its back-off. */
+const MAX_REPEATS = 2;
 const MS_PER_SECOND = 1_000;
 
-/** A replica that asked for a time; times by `performance.now()`. */
-export interface AskedBackOff {
+/** A replica that requested a back-off; times by `performance.now()`. */
+export interface RequestedBackOff {
   replica: string;
-  /** The requests that it turned away with such a time. */
+  /** The requests that it refused with a back-off time. */
   refusals: readonly { requestId: string; at: number; forMs: number }[];
   arrivals: readonly { requestId: string; at: number }[];
 }
 
-/** Back-offs as they are asked for. */
+/** Records the back-offs that replicas request. */
 export class SoakBackOffs {
-  readonly #asking = new Set<ReplicaStandIn>();
+  readonly #replicas = new Set<ReplicaStandIn>();
 
   static create(): SoakBackOffs {
     return new SoakBackOffs();
   }
 
-  /** Lets a replica turn all requests away. Gives what ends it. */
+  /** Makes a replica refuse all requests; returns what ends it. */
   start(standIn: ReplicaStandIn, forS: number): () => void {
-    this.#asking.add(standIn);
+    this.#replicas.add(standIn);
     standIn.mode = "shed";
     standIn.extraHeaders = { ...standIn.extraHeaders, [HEADER]: String(forS) };
     return () => {
@@ -43,9 +43,9 @@
     };
   }
 
-  /** Every replica that asked for a time. */
-  list(): AskedBackOff[] {
-    return [...this.#asking].map((standIn) => ({
+  /** Lists every replica that requested a back-off. */
+  list(): RequestedBackOff[] {
+    return [...this.#replicas].map((standIn) => ({
       replica: standIn.id,
       refusals: standIn.refusals
         .filter(({ headers }) => headers[HEADER] !== undefined)
@@ -59,9 +59,9 @@
   }
 }
 
-/** A request too many of one VM in the time asked for; undefined for none. */
+/** Finds a VM's requests beyond those allowed during a back-off. */
 export function findRepeat(
-  { replica, refusals, arrivals }: AskedBackOff,
+  { replica, refusals, arrivals }: RequestedBackOff,
   options: {
     requests: ReadonlyMap<string, SoakRequest>;
     isMachineBusy: (from: number, to: number) => boolean;
@@ -73,14 +73,15 @@
     const repeats = arrivals.flatMap(({ requestId: id, at }) => {
       const request = requests.get(id);
       const isRepeat = request !== undefined && request.vm === vm &&
-        !request.isDisturbed && at > refusedAt + IN_HAND_MS &&
+        !request.isDisturbed && at > refusedAt + IN_FLIGHT_MS &&
         at < refusedAt + forMs;
       return isRepeat ? [request] : [];
     });
-    if (repeats.length <= MOST_REPEATS) continue;
+    if (repeats.length <= MAX_REPEATS) continue;
     if (isMachineBusy(refusedAt, refusedAt + forMs)) continue;
-    const what = `one of ${repeats.length} at ${replica} within ${forMs} ms ` +
-      `that it wanted none`;
+    const what =
+      `one of ${repeats.length} at ${replica} within the ${forMs} ms ` +
+      `of its back-off`;
     return { request: repeats[0]!, what };
   }
   return undefined;
--- a/test/soak/soak_callers.ts
+++ b/test/soak/soak_callers.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of a soak: they keep their connections for as long as these last.
+ * Callers of a soak, which reuse their connections while these stay open.
  *
  * @module
  */
@@ -7,20 +7,20 @@
 import type { SeededRandom } from "../../src/process/random.ts";
 import { sendCall, type TestAnswer } from "../platform/test_call.ts";
 import { HOST } from "../platform/configurations.ts";
-import { type SoakFleet, STANDING_KEY } from "./soak_fleet.ts";
+import { PERMANENT_KEY, type SoakFleet } from "./soak_fleet.ts";
 import type { SoakVm } from "./soak_vm.ts";
 
-/** How long a caller waits for its answer, in milliseconds. */
+/** The time-out that callers send with each request. */
 export const CALL_TIMEOUT_MS = 2_000;
-/** A caller that hears nothing beyond that has been left hanging. */
+/** A caller without an answer after this time disconnects. */
 const GIVE_UP_MS = 8_000;
-/** A VM that was paused or started is up to date after so long, in ms. */
+/** Time for a VM to be up to date after a pause or a start. */
 const DISTURBED_MS = 4_000;
-const LONGEST_THINK_MS = 60;
-/** One request in so many comes with a key that changes. */
+const MAX_THINK_TIME_MS = 60;
+/** One request in this many uses a key that changes. */
 const CHANGING_KEY_ONE_IN = 4;
 
-/** The routes that callers use, and how often their work may run. */
+/** The routes that callers use, and how often a request may run on each. */
 export const SOAK_ROUTES = [
   { path: "/safe/x", mostRuns: 2, isStream: false },
   { path: "/unsafe/x", mostRuns: 1, isStream: false },
@@ -28,24 +28,24 @@
   { path: "/restream/x", mostRuns: 2, isStream: true },
 ] as const;
 
-/** The body of the request that crashes each replica that begins it. */
+/** The body of the request that crashes every replica that starts it. */
 export const POISON_BODY = "poison";
 const POISON_EVERY_MS = 300;
 
-/** One request and how it ended; times by `performance.now()`. */
+/** One request and its answer; times by `performance.now()`. */
 export interface SoakRequest extends TestAnswer {
   id: string;
   isPoison: boolean;
   route: typeof SOAK_ROUTES[number];
   key: string;
   vm: string;
-  /** Whether the VM was held up or ended while it had the request. */
+  /** Whether the VM was paused, ended or started around the request. */
   isDisturbed: boolean;
   sentAt: number;
   endedAt: number;
 }
 
-/** One caller that sends one request after the other. */
+/** A caller that sends one request after the other. */
 export class SoakCaller {
   readonly #agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
   readonly #fleet: SoakFleet;
@@ -75,14 +75,14 @@
       const route = this.#random.pick(SOAK_ROUTES)!;
       requests.push(await this.send(vm, route));
       await new Promise((resolve) =>
-        setTimeout(resolve, this.#random.nextInt(LONGEST_THINK_MS))
+        setTimeout(resolve, this.#random.nextInt(MAX_THINK_TIME_MS))
       );
     }
     this.#agent.destroy();
     return requests;
   }
 
-  /** Sends the poison request again and again, at any VM, until `isOver`. */
+  /** Sends the poison request to random VMs repeatedly until `isOver`. */
   async runPoison(isOver: () => boolean): Promise<SoakRequest[]> {
     const route = this.#random.pick(SOAK_ROUTES)!;
     const requests: SoakRequest[] = [];
@@ -107,7 +107,7 @@
     const id = `${this.#name}-${this.#sent}`;
     const key = isChanging
       ? this.#random.pick(this.#fleet.changingKeys)!
-      : STANDING_KEY;
+      : PERMANENT_KEY;
     const sentAt = performance.now();
     const answer = await sendCall(`${vm.address}:${vm.callersPort}`, {
       agent: this.#agent,
--- a/test/soak/soak_fleet.ts
+++ b/test/soak/soak_fleet.ts
@@ -1,5 +1,5 @@
 /**
- * Processes, stand-ins and relays of a soak, and the faults done to them.
+ * Processes, stand-ins and relays of a soak, and the faults applied to them.
  *
  * @module
  */
@@ -22,31 +22,31 @@
 import type { Fault } from "./soak_plan.ts";
 import { type SoakPorts, SoakVm } from "./soak_vm.ts";
 
-/** A key that every configuration allows. */
-export const STANDING_KEY = "key-standing";
+/** A key that every configuration accepts. */
+export const PERMANENT_KEY = "key-standing";
 const DRAIN_GRACE_MS = 4_000;
-/** A replica that crashed is back after so long. */
-const REPLACED_AFTER_MS = 1_000;
-/** A replica that left is listed again after so long, as another process. */
-const RELISTED_AFTER_MS = 1_000;
-/** VMs have read the store so long after a fault of it ended. */
-const READ_WITHIN_MS = 4_000;
-/** A process that was told to end and has not after so long is killed. */
+/** Delay before a crashed replica is replaced. */
+const REPLACEMENT_DELAY_MS = 1_000;
+/** Delay before a replica that left is listed again, as another process. */
+const RELISTING_DELAY_MS = 1_000;
+/** Time for all VMs to read the store after a fault of it has ended. */
+const STORE_RECOVERY_MS = 4_000;
+/** A process that has not exited this long after SIGTERM is killed. */
 const END_LIMIT_MS = DRAIN_GRACE_MS + 4_000;
 
-/** A key that a configuration took away, and when. */
+/** A key that a configuration revoked, and when. */
 export interface RevokedKey {
   key: string;
   at: number;
 }
 
-/** A replica and the way to it. */
+/** A replica and the relay before it. */
 interface SoakReplica {
   standIn: ReplicaStandIn;
   relay: Relay;
 }
 
-/** Everything that a soak runs. */
+/** All processes, stand-ins and relays of a soak. */
 export class SoakFleet {
   readonly vms: SoakVm[] = [];
   readonly replicas: SoakReplica[] = [];
@@ -54,7 +54,7 @@
   readonly limits = SoakLimits.create();
   readonly leaving = SoakLeaving.create();
   readonly backOffs = SoakBackOffs.create();
-  /** When the newest key was published. */
+  /** When each key that changes was first published. */
   readonly published = new Map<string, number>();
   readonly #store = StoreStandIn.create();
   readonly #storeRelays: Relay[] = [];
@@ -62,7 +62,7 @@
   readonly #children: ChildProcessGroup;
   readonly #restarts: Promise<void>[] = [];
   readonly #crashed: ReplicaStandIn[] = [];
-  /** When a fault of the store, or of a VM's way to it, began or ended. */
+  /** When a fault of the store, or of a VM's relay to it, began or ended. */
   readonly #storeFaults: number[] = [];
   #version = 1;
   #key = "key-1";
@@ -88,15 +88,15 @@
   }
 
   /**
-   * The key that the newest configuration allows and a later one may not, and
-   * the one that it took away.
+   * The key of the newest configuration that a later one may revoke, and the
+   * key that was revoked last.
    */
   get changingKeys(): string[] {
     const last = this.revoked.at(-1);
     return last === undefined ? [this.#key] : [this.#key, last.key];
   }
 
-  /** Every run of every request, by the request's id. */
+  /** Counts the runs of each request by its id. */
   countRuns(): Map<string, number> {
     const counts = new Map<string, number>();
     const current = this.replicas.map(({ standIn }) => standIn);
@@ -109,20 +109,20 @@
     return counts;
   }
 
-  /** Whether VMs may have been unable to read what was published. */
+  /** Whether a VM may have been unable to read the store in that time. */
   isStoreDisturbed(from: number, to: number): boolean {
     return this.#storeFaults.some((at) =>
-      at >= from - READ_WITHIN_MS && at <= to + READ_WITHIN_MS
+      at >= from - STORE_RECOVERY_MS && at <= to + STORE_RECOVERY_MS
     );
   }
 
-  /** Brings a fault about; resolves when it is over. */
+  /** Applies a fault; resolves when it is over. */
   async applyFault(fault: Fault): Promise<void> {
     await match(fault)
       .with({ kind: "kill" }, ({ vm }) => this.#restart(vm, "SIGKILL"))
       .with({ kind: "terminate" }, ({ vm }) => this.#restart(vm, "SIGTERM"))
       .with({ kind: "reload" }, ({ vm }) => {
-        // Before a process has its handler the signal ends any program.
+        // Without a handler yet, SIGHUP would end the starting process.
         if (this.vms[vm]!.hasStarted) this.vms[vm]!.send("SIGHUP");
       })
       .with({ kind: "pause" }, ({ vm, forMs }) => this.#pause(vm, forMs))
@@ -146,7 +146,7 @@
       })
       .with(
         { kind: "replica_leaves" },
-        ({ replica, forMs }) => this.#removeForTime(replica, forMs),
+        ({ replica, forMs }) => this.#removeTemporarily(replica, forMs),
       )
       .with(
         { kind: "replica_limits" },
@@ -168,17 +168,17 @@
         end();
       })
       .with({ kind: "store_way" }, async ({ vm, mode, forMs }) => {
-        this.#noteStore();
+        this.#noteStoreFault();
         await this.#setRelay(this.#storeRelays[vm]!, mode, forMs);
-        this.#noteStore();
+        this.#noteStoreFault();
       })
       .with({ kind: "store" }, async ({ mode, forMs }) => {
-        this.#noteStore();
+        this.#noteStoreFault();
         this.#store.mode = mode;
         this.#store.destroyConnections();
         await sleep(forMs);
         this.#store.mode = "up";
-        this.#noteStore();
+        this.#noteStoreFault();
       })
       .with({ kind: "store_forgets" }, () => this.#store.dropHistory())
       .with({ kind: "configuration" }, ({ isRevoking }) => {
@@ -188,7 +188,7 @@
       .exhaustive();
   }
 
-  /** Starts again what has ended; resolves when nothing is on its way. */
+  /** Resolves once all pending restarts have completed. */
   async waitRestarts(): Promise<void> {
     await Promise.all(this.#restarts);
   }
@@ -219,11 +219,11 @@
     this.#listReplica(index, "ready");
   }
 
-  /** A replica that crashed is back under another id; its entry lapses late. */
+  /** Replaces a crashed replica under a new id; its entry expires late. */
   async #replaceReplica(index: number): Promise<void> {
     const { standIn, relay } = this.replicas[index]!;
     await relay.close();
-    await sleep(REPLACED_AFTER_MS);
+    await sleep(REPLACEMENT_DELAY_MS);
     if (this.#isClosed) return;
     this.#crashed.push(standIn);
     this.#store.remove(`servers/${standIn.id}`);
@@ -266,7 +266,7 @@
     });
   }
 
-  async #removeForTime(replica: number, forMs: number): Promise<void> {
+  async #removeTemporarily(replica: number, forMs: number): Promise<void> {
     this.#listReplica(replica, "draining");
     await sleep(forMs);
     this.#store.remove(`servers/${this.replicas[replica]!.standIn.id}`);
@@ -274,14 +274,14 @@
     this.#listReplica(replica, "ready");
   }
 
-  /** A replica whose answers alone tell that it leaves; another comes back. */
+  /** Announces a replica's leaving only in its answers, then lists it anew. */
   async #runLeaving(replica: number, forMs: number): Promise<void> {
     const { standIn } = this.replicas[replica]!;
     const end = this.leaving.start(standIn);
     await sleep(forMs);
     this.#store.remove(`servers/${standIn.id}`);
     end();
-    await sleep(RELISTED_AFTER_MS);
+    await sleep(RELISTING_DELAY_MS);
     if (this.replicas[replica]!.standIn !== standIn) return;
     this.#listReplica(replica, "ready");
   }
@@ -295,7 +295,7 @@
     if (mode !== "refuse") relay.setModeOfOpen(mode);
     await sleep(forMs);
     relay.setModeOfNew("pass");
-    // Connections that went silent stay so, until somebody gives them up.
+    // Silent connections stay silent until one of their ends closes them.
   }
 
   async #pause(index: number, forMs: number): Promise<void> {
@@ -328,7 +328,7 @@
     if (!this.#isClosed) vm.start();
   }
 
-  #noteStore(): void {
+  #noteStoreFault(): void {
     this.#storeFaults.push(performance.now());
   }
 
@@ -339,7 +339,7 @@
 
   #announceConfiguration(): void {
     this.#version += 1;
-    const keys = [STANDING_KEY, this.#key];
+    const keys = [PERMANENT_KEY, this.#key];
     if (!this.published.has(this.#key)) {
       this.published.set(this.#key, performance.now());
     }
--- a/test/soak/soak_leaving.ts
+++ b/test/soak/soak_leaving.ts
@@ -1,6 +1,6 @@
 /**
- * Replicas of a soak that say in their answers that they leave, and what they
- * got afterwards.
+ * Replicas of a soak that announce in their answers that they leave, and the
+ * requests that they received afterwards.
  *
  * @module
  */
@@ -8,53 +8,53 @@
 import type { SoakRequest } from "./soak_callers.ts";
 
 const HEADER = "server-leaving";
-/** What a replica may still get after the first answer that says so. */
+/** A replica may still get requests this long after its first notice. */
 const DRAIN_MS = 2_000;
 
-/** One leaving; times by `performance.now()`. */
-export interface SaidLeaving {
+/** A replica's notice that it leaves; times by `performance.now()`. */
+export interface LeavingNotice {
   replica: string;
   from: number;
-  /** When the replica came off the list. */
+  /** When the replica was removed from the list. */
   to: number;
   arrivals: readonly { requestId: string; at: number }[];
 }
 
-/** Leavings as they are said. */
+/** Records the notices of leaving replicas. */
 export class SoakLeaving {
-  readonly #said: { standIn: ReplicaStandIn; leaving: SaidLeaving }[] = [];
+  readonly #notices: { standIn: ReplicaStandIn; notice: LeavingNotice }[] = [];
 
   static create(): SoakLeaving {
     return new SoakLeaving();
   }
 
-  /** Lets a replica say it in all answers from now on. Gives what ends it. */
+  /** Adds the notice to a replica's answers; returns what ends it. */
   start(standIn: ReplicaStandIn): () => void {
     standIn.extraHeaders = { ...standIn.extraHeaders, [HEADER]: "1" };
-    const leaving: SaidLeaving = {
+    const notice: LeavingNotice = {
       replica: standIn.id,
       from: performance.now(),
       to: Infinity,
       arrivals: [],
     };
-    this.#said.push({ standIn, leaving });
+    this.#notices.push({ standIn, notice });
     return () => {
       const { [HEADER]: _ended, ...others } = standIn.extraHeaders;
       standIn.extraHeaders = others;
-      leaving.to = performance.now();
+      notice.to = performance.now();
     };
   }
 
-  /** Every leaving, with what its replica got. */
-  list(): SaidLeaving[] {
-    return this.#said.map(({ standIn, leaving }) => ({
-      ...leaving,
+  /** Lists every notice with the requests that reached its replica. */
+  list(): LeavingNotice[] {
+    return this.#notices.map(({ standIn, notice }) => ({
+      ...notice,
       arrivals: listArrivals(standIn),
     }));
   }
 }
 
-/** What reached a replica, ever. */
+/** Lists all requests that reached a replica. */
 export function listArrivals(
   { seen, seenAt }: ReplicaStandIn,
 ): { requestId: string; at: number }[] {
@@ -64,30 +64,36 @@
   }));
 }
 
-/** A request that reached a leaving replica too late; undefined for none. */
+/** Finds a request that was sent to a leaving replica too late. */
 export function findLateArrival(
-  { replica, from, to, arrivals }: SaidLeaving,
+  { replica, from, to, arrivals }: LeavingNotice,
   options: {
     requests: ReadonlyMap<string, SoakRequest>;
     isMachineBusy: (from: number, to: number) => boolean;
   },
 ): { request: SoakRequest; what: string } | undefined {
-  const toldAt = Math.min(
+  const noticedAt = Math.min(
     ...[...options.requests.values()]
-      .filter((each) => isToldBy(each, replica) && each.sentAt >= from)
+      .filter((each) => hasNoticeFrom(each, replica) && each.sentAt >= from)
       .map(({ endedAt }) => endedAt),
   );
   for (const { requestId, at } of arrivals) {
     const request = options.requests.get(requestId);
     if (request === undefined || request.isDisturbed || at > to) continue;
-    if (request.sentAt <= toldAt + DRAIN_MS) continue;
-    if (options.isMachineBusy(toldAt, at)) continue;
-    const ms = Math.round(request.sentAt - toldAt);
-    return { request, what: `sent to ${replica} ${ms} ms after its leaving` };
+    if (request.sentAt <= noticedAt + DRAIN_MS) continue;
+    if (options.isMachineBusy(noticedAt, at)) continue;
+    const ms = Math.round(request.sentAt - noticedAt);
+    return {
+      request,
+      what: `sent to ${replica} ${ms} ms after its leaving notice`,
+    };
   }
   return undefined;
 }
 
-function isToldBy({ headers, body }: SoakRequest, replica: string): boolean {
+function hasNoticeFrom(
+  { headers, body }: SoakRequest,
+  replica: string,
+): boolean {
   return headers[HEADER] === "1" && body.includes(replica);
 }
--- a/test/soak/soak_limits.ts
+++ b/test/soak/soak_limits.ts
@@ -1,5 +1,5 @@
 /**
- * Rate limits that replicas of a soak name, and what they got under them.
+ * Rate limits that replicas of a soak announce, and the requests they received.
  *
  * @module
  */
@@ -8,47 +8,48 @@
 import { listArrivals } from "./soak_leaving.ts";
 
 const HEADER = "server-limit";
-/** All VMs know a limit so long after it was named, in milliseconds. */
+/** Time for all VMs to apply an announced limit. */
 const KNOWN_WITHIN_MS = 3_000;
 const WINDOW_MS = 4_000;
 const MS_PER_SECOND = 1_000;
-/** What a replica may get in a window: half as much again, and five. */
+/** Requests allowed in a window: 1.5 times the limit, plus five. */
 const EXCESS_RATIO = 1.5;
 const EXCESS_SLACK = 5;
 
-/** One limit; times by `performance.now()`. */
-export interface NamedLimit {
+/** A rate limit of a replica; times by `performance.now()`. */
+export interface AnnouncedLimit {
   replica: string;
   requestsPerS: number;
   from: number;
   to: number;
-  /** What reached the replica, ever. */
+  /** All requests that reached the replica. */
   arrivals: readonly { requestId: string; at: number }[];
 }
 
-/** Limits as they are named and taken back. */
+/** Records the rate limits that replicas announce. */
 export class SoakLimits {
-  readonly #named: { standIn: ReplicaStandIn; limit: NamedLimit }[] = [];
+  readonly #announced: { standIn: ReplicaStandIn; limit: AnnouncedLimit }[] =
+    [];
 
   static create(): SoakLimits {
     return new SoakLimits();
   }
 
-  /** Lets a replica name a limit, unless it does. Gives what ends it. */
+  /** Announces a limit unless the replica has one; returns what ends it. */
   start(standIn: ReplicaStandIn, requestsPerS: number): () => void {
     if (standIn.extraHeaders[HEADER] !== undefined) return () => {};
     standIn.extraHeaders = {
       ...standIn.extraHeaders,
       [HEADER]: String(requestsPerS),
     };
-    const limit: NamedLimit = {
+    const limit: AnnouncedLimit = {
       replica: standIn.id,
       requestsPerS,
       from: performance.now(),
       to: Infinity,
       arrivals: [],
     };
-    this.#named.push({ standIn, limit });
+    this.#announced.push({ standIn, limit });
     return () => {
       const { [HEADER]: _ended, ...others } = standIn.extraHeaders;
       standIn.extraHeaders = others;
@@ -56,25 +57,25 @@
     };
   }
 
-  /** Every limit, with what its replica got. */
-  list(): NamedLimit[] {
-    return this.#named.map(({ standIn, limit }) => ({
+  /** Lists every limit with the requests that reached its replica. */
+  list(): AnnouncedLimit[] {
+    return this.#announced.map(({ standIn, limit }) => ({
       ...limit,
       arrivals: listArrivals(standIn),
     }));
   }
 }
 
-/** What a replica got in one window beyond its limit; undefined for none. */
+/** Finds a window in which a replica got more requests than allowed. */
 export function findExcess(
-  limit: NamedLimit,
+  limit: AnnouncedLimit,
   options: {
     requests: ReadonlyMap<string, SoakRequest>;
     isMachineBusy: (from: number, to: number) => boolean;
   },
 ): { request: SoakRequest; what: string } | undefined {
   const { requestsPerS, from, to, replica } = limit;
-  const most = EXCESS_RATIO * requestsPerS * WINDOW_MS / MS_PER_SECOND +
+  const maxRequests = EXCESS_RATIO * requestsPerS * WINDOW_MS / MS_PER_SECOND +
     EXCESS_SLACK;
   const counted = limit.arrivals.flatMap(({ requestId, at }) => {
     const request = options.requests.get(requestId);
@@ -85,9 +86,9 @@
   for (const [index, { request, at }] of counted.entries()) {
     const later = counted.slice(index)
       .filter((each) => each.at < at + WINDOW_MS);
-    if (later.length <= most) continue;
+    if (later.length <= maxRequests) continue;
     if (options.isMachineBusy(from, at + WINDOW_MS)) continue;
-    const what = `${replica} takes ${requestsPerS} a second and got ` +
+    const what = `${replica} allows ${requestsPerS} requests/s and got ` +
       `${later.length} in ${WINDOW_MS} ms`;
     return { request, what };
   }
