--- a/test/soak/soak_oracle_test.ts
+++ b/test/soak/soak_oracle_test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import { SOAK_ROUTES, type SoakRequest } from "./soak_callers.ts";
-import { listBroken, type SoakRecord } from "./soak_oracle.ts";
+import { listViolations, type SoakRecord } from "./soak_oracle.ts";
 
 const [SAFE, UNSAFE, STREAM] = SOAK_ROUTES;
 const WHOLE_STREAM = [1, 2, 3, 4, 5, 6]
@@ -25,7 +25,7 @@
 }
 
 function check(request: SoakRequest, changes: Partial<SoakRecord> = {}) {
-  const broken = listBroken({
+  const broken = listViolations({
     requests: [request],
     runs: new Map([["request-1", 1]]),
     revoked: [],
@@ -40,56 +40,56 @@
   return broken.map(({ promise }) => promise);
 }
 
-describe("what a soak finds broken", () => {
-  it("is nothing where all is well", () => {
+describe("violations that a soak reports", () => {
+  it("are none where all guarantees hold", () => {
     expect(check(buildRequest())).toEqual([]);
     const stream = { route: STREAM, body: WHOLE_STREAM };
     expect(check(buildRequest(stream))).toEqual([]);
   });
 
-  it("is a second run of work that may run once", () => {
+  it("include a second run of a request that may run once", () => {
     const runs = new Map([["request-1", 2]]);
     expect(check(buildRequest(), { runs })).toEqual(["runs at most once"]);
     expect(check(buildRequest({ route: SAFE }), { runs })).toEqual([]);
   });
 
-  it("is a refusal of what ran", () => {
+  it("include the refusal of a request that ran", () => {
     const refused = buildRequest({ status: 503, body: "" });
-    expect(check(refused)).toEqual(["a refusal is true"]);
+    expect(check(refused)).toEqual(["a refused request has not run"]);
     expect(check(refused, { runs: new Map() })).toEqual([]);
   });
 
-  it("is another request's answer, or one without a signature", () => {
-    const promise = ["an answer is its request's own"];
+  it("include another request's answer, or one without a signature", () => {
+    const promise = ["an answer belongs to its request"];
     const other = { "x-request-id": "request-2", "x-response-seal": "seal" };
     expect(check(buildRequest({ headers: other }))).toEqual(promise);
     const unsigned = { "x-request-id": "request-1" };
     expect(check(buildRequest({ headers: unsigned }))).toEqual(promise);
   });
 
-  it("is a part that ends like a whole", () => {
+  it("include an incomplete answer that ends like a complete one", () => {
     const part = WHOLE_STREAM.slice(0, -30);
     const cut = buildRequest({ route: STREAM, body: part });
-    const promise = ["an answer is whole or visibly broken"];
+    const promise = ["an answer is complete or visibly broken"];
     expect(check(cut)).toEqual(promise);
     expect(check({ ...cut, isWhole: false })).toEqual([]);
     const twice = WHOLE_STREAM + WHOLE_STREAM;
     expect(check({ ...cut, body: twice })).toEqual(promise);
   });
 
-  it("is a caller that is turned away with a right key", () => {
+  it("include a caller that is rejected with a valid key", () => {
     const denied = buildRequest({ status: 401, body: "" });
-    expect(check(denied)).toEqual(["nobody is denied"]);
+    expect(check(denied)).toEqual(["a valid key is accepted"]);
     expect(check({ ...denied, key: "key-2" })).toEqual([]);
     const later = { ...denied, key: "key-2", sentAt: 5_000, endedAt: 5_100 };
-    expect(check(later)).toEqual(["nobody is denied"]);
+    expect(check(later)).toEqual(["a valid key is accepted"]);
     expect(check({ ...later, isDisturbed: true })).toEqual([]);
   });
 
-  it("is a key that is accepted long after it was taken away", () => {
+  it("include a key that is accepted long after it was revoked", () => {
     const late = buildRequest({ key: "key-1", sentAt: 9_000, endedAt: 9_100 });
     const revoked = [{ key: "key-1", at: 2_000 }];
-    const promise = ["a key that was taken away is refused"];
+    const promise = ["a revoked key is refused"];
     expect(check(late, { revoked })).toEqual(promise);
     expect(check({ ...late, sentAt: 4_000, endedAt: 4_100 }, { revoked }))
       .toEqual([]);
@@ -97,16 +97,16 @@
     expect(check({ ...late, isDisturbed: true }, { revoked })).toEqual([]);
   });
 
-  it("is a caller that is left hanging", () => {
+  it("include a caller whose request does not end in time", () => {
     const late = buildRequest({ endedAt: 7_000, status: 0, isWhole: false });
-    expect(check(late)).toEqual(["an end comes in time"]);
+    expect(check(late)).toEqual(["a request ends in time"]);
     expect(check({ ...late, isDisturbed: true })).toEqual([]);
     expect(check(late, { isMachineBusy: () => true })).toEqual([]);
   });
 });
 
-describe("a poison request's runs", () => {
-  /** One sending a second, each at a VM that is well. */
+describe("runs of a poison request", () => {
+  /** One request a second, each at an undisturbed VM. */
   function checkRuns(count: number, changes: Partial<SoakRequest> = {}) {
     const requests = Array.from({ length: count }, (_, index) =>
       buildRequest({
@@ -121,18 +121,18 @@
     return check(requests[0]!, { requests, runs });
   }
 
-  it("are broken beyond three, later than three seconds after the third", () => {
+  it("are violations beyond three that start over 3 s after the third", () => {
     expect(checkRuns(9)).toEqual([]);
-    expect(checkRuns(10)).toEqual(["what crashes replicas is kept from them"]);
+    expect(checkRuns(10)).toEqual(["a poison request is kept from replicas"]);
   });
 
-  it("do not count at VMs that have just started", () => {
+  it("are ignored at VMs that have just started", () => {
     expect(checkRuns(20, { isDisturbed: true })).toEqual([]);
   });
 });
 
-describe("a replica's limit", () => {
-  /** Ten requests a second, from its naming to its end. */
+describe("a replica's rate limit", () => {
+  /** Ten requests a second while the limit is announced. */
   function checkArrivals(
     requestsPerS: number,
     changes: Partial<SoakRequest> = {},
@@ -155,9 +155,11 @@
     return check(requests[0]!, { requests, runs: new Map(), limits });
   }
 
-  it("is broken by more than half as much again and five", () => {
+  it("is violated by more than 1.5 times the limit plus five", () => {
     expect(checkArrivals(6)).toEqual([]);
-    expect(checkArrivals(5)).toEqual(["a replica gets no more than it takes"]);
+    expect(checkArrivals(5)).toEqual([
+      "a replica gets no more than its rate limit",
+    ]);
   });
 
   it("does not count at VMs that have just started", () => {
@@ -165,17 +167,17 @@
   });
 });
 
-describe("a replica that said that it leaves", () => {
-  /** The first answer says so at once; another request follows after `ms`. */
+describe("a replica that announced that it leaves", () => {
+  /** The first answer has the notice; another request follows after `ms`. */
   function checkLater(ms: number, changes: Partial<SoakRequest> = {}) {
-    const told = buildRequest({
+    const announced = buildRequest({
       headers: {
         "x-request-id": "request-1",
         "x-response-seal": "seal",
         "server-leaving": "1",
       },
     });
-    const sentAt = told.endedAt + ms;
+    const sentAt = announced.endedAt + ms;
     const later = buildRequest({
       id: "request-2",
       sentAt,
@@ -183,30 +185,30 @@
       headers: { "x-request-id": "request-2", "x-response-seal": "seal" },
       ...changes,
     });
-    const arrivals = [told, later]
+    const arrivals = [announced, later]
       .map(({ id, sentAt: at }) => ({ requestId: id, at }));
     const leaving = [{ replica: "i-1", from: 0, to: 9_000, arrivals }];
-    return check(told, {
-      requests: [told, later],
+    return check(announced, {
+      requests: [announced, later],
       runs: new Map(),
       leaving,
     });
   }
 
-  it("is broken by what is sent to it later than two seconds after", () => {
+  it("must not get requests sent over two seconds after the notice", () => {
     expect(checkLater(1_900)).toEqual([]);
     expect(checkLater(2_100))
-      .toEqual(["a replica that leaves gets nothing new"]);
+      .toEqual(["a leaving replica gets no new requests"]);
   });
 
-  it("does not count at VMs that have just started, or once it is back", () => {
+  it("may get requests of VMs that have just started, or once it is back", () => {
     expect(checkLater(2_100, { isDisturbed: true })).toEqual([]);
     expect(checkLater(9_000)).toEqual([]);
   });
 });
 
-describe("a replica that asked a VM to back off", () => {
-  /** Requests at so many ms after the first, which was turned away for 3 s. */
+describe("a replica that requested a back-off", () => {
+  /** Requests `times` ms after the first, which got a back-off of 3 s. */
   function checkRepeats(times: number[], changes: Partial<SoakRequest> = {}) {
     const requests = [0, ...times].map((ms, index) =>
       buildRequest({
@@ -225,14 +227,14 @@
     return check(requests[0]!, { requests, runs: new Map(), backOffs });
   }
 
-  it("is broken by more than two of its requests in that time", () => {
-    const promise = ["a VM backs off where a replica asks for it"];
+  it("must not get more than two requests of the VM in that time", () => {
+    const promise = ["a VM respects a requested back-off"];
     expect(checkRepeats([600, 700])).toEqual([]);
     expect(checkRepeats([600, 700, 2_900])).toEqual(promise);
     expect(checkRepeats([100, 600, 700, 3_100])).toEqual([]);
   });
 
-  it("does not count at other VMs, or at those that have just started", () => {
+  it("may get requests of other VMs, or of those that have just started", () => {
     const times = [600, 700, 2_900];
     expect(checkRepeats(times, { vm: "vm-2" })).toEqual([]);
     expect(checkRepeats(times, { isDisturbed: true })).toEqual([]);
--- a/test/soak/soak_plan.ts
+++ b/test/soak/soak_plan.ts
@@ -1,5 +1,5 @@
 /**
- * Which faults a soak brings about and when, drawn from its seed.
+ * The faults of a soak and their times, drawn from its seed.
  *
  * @module
  */
@@ -8,18 +8,18 @@
 import type { ReplicaMode } from "../platform/replica_stand_in.ts";
 import type { StoreMode } from "../platform/store_stand_in.ts";
 
-const LONGEST_GAP_MS = 1_500;
-const SHORTEST_FAULT_MS = 200;
-const LONGEST_FAULT_MS = 3_000;
-const LONGEST_DELAY_MS = 200;
-const LONGEST_SIGNAL_GAP_MS = 10_000;
-const SHORTEST_SIGNAL_MS = 4_000;
-const LONGEST_SIGNAL_MS = 9_000;
-const MOST_REQUESTS_PER_S = 8;
-const LONGEST_BACK_OFF_S = 4;
-/** What replicas ask is drawn apart: the faults of a seed stay what they are. */
+const MAX_GAP_MS = 1_500;
+const MIN_FAULT_MS = 200;
+const MAX_FAULT_MS = 3_000;
+const MAX_DELAY_MS = 200;
+const MAX_SIGNAL_GAP_MS = 10_000;
+const MIN_SIGNAL_MS = 4_000;
+const MAX_SIGNAL_MS = 9_000;
+const MAX_REQUESTS_PER_S = 8;
+const MAX_BACK_OFF_S = 4;
+/** Signals have their own seed, so that they don't change a seed's faults. */
 const SIGNAL_SEED = 1_000_000_007;
-/** One configuration in so many takes a key away. */
+/** One configuration in this many revokes a key. */
 const REVOKING_ONE_IN = 3;
 
 const RELAY_MODES: RelayMode[] = ["swallow", "swallow_back", "refuse"];
@@ -36,7 +36,7 @@
   "extra_late",
 ];
 
-/** What happens at one moment. */
+/** A fault of a process, a connection, a replica or the store. */
 export type Fault =
   | { kind: "kill" | "terminate" | "reload"; vm: number }
   | { kind: "pause"; vm: number; forMs: number }
@@ -58,13 +58,13 @@
   | { kind: "store_forgets" }
   | { kind: "configuration"; isRevoking: boolean };
 
-/** A fault and when it begins, in milliseconds from the soak's start. */
+/** A fault and its start, in milliseconds from the start of the soak. */
 export interface PlannedFault {
   at: number;
   fault: Fault;
 }
 
-/** What a plan is drawn for. */
+/** Options of a plan. */
 export interface PlanOptions {
   seed: number;
   forMs: number;
@@ -72,18 +72,18 @@
   replicas: number;
 }
 
-/** Faults in the order of their time; they overlap and come in series. */
+/** Builds a plan in order of time; faults may overlap. */
 export function buildPlan(options: PlanOptions): PlannedFault[] {
   const faults = buildSeries(
     SeededRandom.create(options.seed),
     options,
-    LONGEST_GAP_MS,
+    MAX_GAP_MS,
     pickFault,
   );
   const signals = buildSeries(
     SeededRandom.create(options.seed + SIGNAL_SEED),
     options,
-    LONGEST_SIGNAL_GAP_MS,
+    MAX_SIGNAL_GAP_MS,
     pickSignal,
   );
   return [...faults, ...signals].toSorted((left, right) => left.at - right.at);
@@ -92,31 +92,31 @@
 function buildSeries(
   random: SeededRandom,
   options: PlanOptions,
-  longestGapMs: number,
+  maxGapMs: number,
   pick: (random: SeededRandom, options: PlanOptions) => Fault,
 ): PlannedFault[] {
   const plan: PlannedFault[] = [];
   let at = 0;
   while (true) {
-    at += random.nextInt(longestGapMs);
+    at += random.nextInt(maxGapMs);
     if (at >= options.forMs) return plan;
     plan.push({ at, fault: pick(random, options) });
   }
 }
 
-/** What a replica asks in its answers. */
+/** Picks a signal that a replica sends in its answers. */
 function pickSignal(random: SeededRandom, options: PlanOptions): Fault {
   const replica = random.nextInt(options.replicas);
-  const forMs = SHORTEST_SIGNAL_MS +
-    random.nextInt(LONGEST_SIGNAL_MS - SHORTEST_SIGNAL_MS);
-  const requestsPerS = 1 + random.nextInt(MOST_REQUESTS_PER_S);
+  const forMs = MIN_SIGNAL_MS +
+    random.nextInt(MAX_SIGNAL_MS - MIN_SIGNAL_MS);
+  const requestsPerS = 1 + random.nextInt(MAX_REQUESTS_PER_S);
   const signals: Fault[] = [
     { kind: "replica_limits", replica, requestsPerS, forMs },
     { kind: "replica_says_leaving", replica, forMs },
     {
       kind: "replica_backs_off",
       replica,
-      forS: 1 + random.nextInt(LONGEST_BACK_OFF_S),
+      forS: 1 + random.nextInt(MAX_BACK_OFF_S),
       forMs,
     },
   ];
@@ -126,21 +126,21 @@
 function pickFault(random: SeededRandom, options: PlanOptions): Fault {
   const vm = random.nextInt(options.vms);
   const replica = random.nextInt(options.replicas);
-  const forMs = SHORTEST_FAULT_MS +
-    random.nextInt(LONGEST_FAULT_MS - SHORTEST_FAULT_MS);
-  const delayMs = 1 + random.nextInt(LONGEST_DELAY_MS);
-  const wayMode = random.pick(RELAY_MODES)!;
+  const forMs = MIN_FAULT_MS +
+    random.nextInt(MAX_FAULT_MS - MIN_FAULT_MS);
+  const delayMs = 1 + random.nextInt(MAX_DELAY_MS);
+  const relayMode = random.pick(RELAY_MODES)!;
   const faults: Fault[] = [
     { kind: "kill", vm },
     { kind: "terminate", vm },
     { kind: "reload", vm },
     { kind: "pause", vm, forMs },
     { kind: "reset_ways", replica },
-    { kind: "replica_way", replica, mode: wayMode, forMs },
+    { kind: "replica_way", replica, mode: relayMode, forMs },
     { kind: "replica_delay", replica, delayMs, forMs },
     { kind: "replica", replica, mode: random.pick(REPLICA_MODES)!, forMs },
     { kind: "replica_leaves", replica, forMs },
-    { kind: "store_way", vm, mode: wayMode, forMs },
+    { kind: "store_way", vm, mode: relayMode, forMs },
     { kind: "store", mode: random.pick(STORE_MODES)!, forMs },
     { kind: "store_forgets" },
     {
--- a/test/soak/soak_plan_test.ts
+++ b/test/soak/soak_plan_test.ts
@@ -4,12 +4,12 @@
 const OPTIONS = { seed: 7, forMs: 600_000, vms: 4, replicas: 3 };
 
 describe("the plan of a soak", () => {
-  it("is the same for one seed, and another for another", () => {
+  it("is the same for the same seed and differs between seeds", () => {
     expect(buildPlan(OPTIONS)).toEqual(buildPlan(OPTIONS));
     expect(buildPlan({ ...OPTIONS, seed: 8 })).not.toEqual(buildPlan(OPTIONS));
   });
 
-  it("has every kind of fault, in order and within its time", () => {
+  it("has every kind of fault, in order and within the duration", () => {
     const plan = buildPlan(OPTIONS);
     const kinds = new Set(plan.map(({ fault }) => fault.kind));
     expect(kinds.size).toBe(16);
--- a/test/soak/soak_test.ts
+++ b/test/soak/soak_test.ts
@@ -4,17 +4,17 @@
 import { beforeAll, describe, expect, it } from "vitest";
 import { runSoak } from "./run_soak.ts";
 
-/** The seed of the run that every change goes through. */
+/** The seed of the soak that CI runs for every change. */
 const CHECKED_SEED = 1;
 const CHECKED_MS = 8_000;
 const RELOAD_AT_START_SEED = 217;
 
-describe("the daemon under faults from outside", () => {
+describe("the daemon under external faults", () => {
   beforeAll(async () => {
     await promisify(execFile)(process.execPath, ["deploy/bundle.js"]);
   });
 
-  it("keeps its promises", async () => {
+  it("violates no guarantee", async () => {
     const report = await runSoak({
       seed: CHECKED_SEED,
       forMs: CHECKED_MS,
@@ -26,8 +26,8 @@
     expect(report.statuses["200"]).toBeGreaterThan(0);
   });
 
-  // Guards against a reload that ends a process which is just being started.
-  it("keeps its promises where a reload meets a start", async () => {
+  // Guards against a reload signal that ends a process during its start.
+  it("violates no guarantee when a reload hits a starting process", async () => {
     const report = await runSoak({
       seed: RELOAD_AT_START_SEED,
       forMs: 12_000,
--- a/test/soak/soak_vm.ts
+++ b/test/soak/soak_vm.ts
@@ -15,7 +15,7 @@
 const PROGRAM = "target/persimmonslip-platform.js";
 const SETTINGS_VARIABLE = "PERSIMMONSLIP_SETTINGS";
 
-/** The same on every VM; addresses differ. */
+/** Ports of a VM's listeners: the same on every VM, as the addresses differ. */
 export interface SoakPorts {
   callers: number;
   readiness: number;
@@ -24,7 +24,7 @@
   peers: number;
 }
 
-/** What a VM is started with. */
+/** Start options of a VM. */
 export interface SoakVmOptions {
   name: string;
   address: string;
@@ -38,15 +38,15 @@
 
 const STARTED_EVENT = "event=started";
 
-/** A daemon that is signalled from outside. */
+/** A daemon process that the soak controls by signals. */
 export class SoakVm {
   readonly #options: SoakVmOptions;
   #child: Child | undefined;
-  /** Where the log of this life begins; all lives write to one file. */
-  #logStart = 0;
-  /** When something last kept it from its work, by `performance.now()`. */
+  /** Offset of this incarnation in the log file, which all of them share. */
+  #logOffset = 0;
+  /** When the VM was last disturbed, by `performance.now()`. */
   disturbedAt = -Infinity;
-  /** Whether its end was asked for. */
+  /** Whether the process was told to end. */
   isEndExpected = false;
 
   constructor(options: SoakVmOptions) {
@@ -69,10 +69,10 @@
     return this.#options.ports.callers;
   }
 
-  /** Whether the process has said that it is up. */
+  /** Whether the process has logged its start. */
   get hasStarted(): boolean {
     if (this.#child === undefined) return false;
-    return readFileSync(this.#child.logFile, "utf8").slice(this.#logStart)
+    return readFileSync(this.#child.logFile, "utf8").slice(this.#logOffset)
       .includes(STARTED_EVENT);
   }
 
@@ -86,7 +86,7 @@
     writeFileSync(file, JSON.stringify(this.#buildSettings()));
     this.isEndExpected = false;
     this.noteDisturbed();
-    this.#logStart = this.#child === undefined
+    this.#logOffset = this.#child === undefined
       ? 0
       : readFileSync(this.#child.logFile, "utf8").length;
     this.#child = children.start({
--- a/test/support/burn_examples.ts
+++ b/test/support/burn_examples.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded examples of what VMs gather for the burn report: each VM is a real
- * recorder that serves a made-up load in virtual time.
+ * Seeded example series for the burn report: each VM is a real recorder under a
+ * synthetic load in virtual time.
  *
  * @module
  */
@@ -13,19 +13,19 @@
 
 const MINUTE_MS = 60_000;
 
-/** A class in the example. */
+/** A request class of the example load. */
 export interface ExampleClass {
   className: string;
   tier: string;
   objective: number;
-  /** Share of requests that are bad at ordinary times. */
+  /** Share of requests that miss their objective in normal operation. */
   badShare: number;
-  /** Share that is bad in the last minutes. */
+  /** Share of requests that miss it while the class is failing. */
   lateBadShare: number;
   perMinute: number;
 }
 
-/** Two ordinary classes and one that fails. */
+/** Request classes of the example load; "chat" fails late. */
 export const EXAMPLE_CLASSES: readonly ExampleClass[] = [
   {
     className: "chat",
@@ -62,30 +62,30 @@
   { result: "lost", step: "sent" },
 ];
 
-/** One life of a VM's process in an example. */
+/** One incarnation of a VM in an example. */
 export class ExampleVm {
   readonly clock = VirtualClock.create();
   readonly vm: string;
   readonly incarnation: string;
   readonly #recorder: BurnRecorder;
   readonly #random: Random;
-  /** Requests served so far, in the order of their ends. */
+  /** Requests served so far, in order of completion. */
   readonly served: (FinishedRequest & { endedMs: number })[] = [];
 
-  constructor(life: { vm: string; incarnation: string; seed: number }) {
-    this.vm = life.vm;
-    this.incarnation = life.incarnation;
-    this.#random = SeededRandom.create(life.seed);
+  constructor(options: { vm: string; incarnation: string; seed: number }) {
+    this.vm = options.vm;
+    this.incarnation = options.incarnation;
+    this.#random = SeededRandom.create(options.seed);
     this.#recorder = BurnRecorder.create(this.clock);
   }
 
   static create(
-    life: { vm: string; incarnation: string; seed: number },
+    options: { vm: string; incarnation: string; seed: number },
   ): ExampleVm {
-    return new ExampleVm(life);
+    return new ExampleVm(options);
   }
 
-  /** Serves for so many minutes; `isFailing` sets each class's worse share. */
+  /** Serves load for `minutes`; `isFailing` selects `lateBadShare`. */
   async runMinutes(
     minutes: number,
     options: {
@@ -148,7 +148,7 @@
   }
 }
 
-/** The classes' objectives as the operator API gives them. */
+/** The classes' objectives in the form of the operator API. */
 export function buildObjectives(
   workspaces: Record<string, Record<string, number>> = {},
 ): object[] {
--- a/test/support/counting_clock.ts
+++ b/test/support/counting_clock.ts
@@ -1,12 +1,12 @@
 /**
- * A virtual clock that tells how many timers are set.
+ * A virtual clock that counts pending timers.
  *
  * @module
  */
 import type { CancelTimer } from "../../src/process/clock.ts";
 import { VirtualClock } from "../../standin/virtual_clock.ts";
 
-/** Lets a test over real sockets wait until the code under it waits. */
+/** Lets a test over real sockets wait until the tested code sets a timer. */
 export class CountingClock extends VirtualClock {
   /** Timers that are set and have neither fired nor been cancelled. */
   pending = 0;
--- a/test/support/daemon_build.ts
+++ b/test/support/daemon_build.ts
@@ -1,5 +1,5 @@
 /**
- * Compiles the daemon for tests and benches that run it as a process.
+ * Compiles the daemon for tests and benchmarks that run it as a process.
  *
  * @module
  */
@@ -12,16 +12,16 @@
 
 const ROOT = fileURLToPath(new URL("../..", import.meta.url));
 
-/** A compiled daemon in a directory of its own. */
+/** A compiled daemon in its own directory. */
 export interface DaemonBuild {
-  /** The module to start. */
+  /** Path of the module to start. */
   program: string;
   remove: () => void;
 }
 
 /**
- * Compiles the work tree as it is now. The directory lies below the root, so
- * that the libraries are found from it.
+ * Compiles the current work tree. The output directory is below the root, so
+ * that module resolution finds the dependencies.
  */
 export async function buildDaemon(): Promise<DaemonBuild> {
   const parent = join(ROOT, ".tmp");
--- a/test/support/daemon_build_setup.ts
+++ b/test/support/daemon_build_setup.ts
@@ -12,8 +12,8 @@
   }
 }
 
-/** Vitest runs this before the tests; what it gives runs after them. */
-// Vitest sets the name.
+/** Vitest's global setup; the returned function is the teardown. */
+// Vitest requires this name.
 // deno-lint-ignore persimmonslip/verb-first
 export async function setup(project: TestProject): Promise<() => void> {
   const build = await buildDaemon();
--- a/test/support/delay_line.ts
+++ b/test/support/delay_line.ts
@@ -1,17 +1,17 @@
 /**
- * Holds steps of one direction of a connection back, and keeps their order.
+ * Delays the steps of one direction of a connection and keeps their order.
  *
  * @module
  */
 
-interface Step {
+interface DelayedStep {
   at: number;
   run: () => void;
 }
 
-/** What is on its way one after the other, as bytes of one connection are. */
+/** Delayed steps in order, like the bytes of one connection. */
 export class DelayLine {
-  readonly #steps: Step[] = [];
+  readonly #steps: DelayedStep[] = [];
   #timer: NodeJS.Timeout | undefined;
 
   static create(): DelayLine {
--- a/test/support/fleet_steps.ts
+++ b/test/support/fleet_steps.ts
@@ -1,5 +1,5 @@
 /**
- * Steps that tests of the fleet have in common.
+ * Common steps of the fleet tests.
  *
  * @module
  */
@@ -12,7 +12,7 @@
 const START_MS = 10_000;
 const SETTLE_MS = 3_000;
 
-/** A fleet that has `version` in force everywhere and knows its members. */
+/** Starts a fleet in which all VMs know each other and apply `version`. */
 export async function startFleet(
   options: FleetOptions,
   version = 1,
@@ -40,17 +40,17 @@
   return toId<VmId>(`vm-${index}`);
 }
 
-/** The owners of `key` that the VMs other than `except` name. */
+/** The owners of `key` according to all VMs but `except`. */
 export function listOwners(
   fleet: VirtualFleet,
   key: string,
   except?: VmId,
 ): Set<VmId | undefined> {
-  const asked = fleet.list().filter((vm) => vm.listed.id !== except);
-  return new Set(asked.map((vm) => vm.membership.findOwner(key)));
+  const queried = fleet.list().filter((vm) => vm.listed.id !== except);
+  return new Set(queried.map((vm) => vm.membership.findOwner(key)));
 }
 
-/** Records every version that comes into force at `vm`, in order. */
+/** Records every version that `vm` applies, in order. */
 export function recordVersions(vm: FleetVm): number[] {
   const versions: number[] = [];
   vm.follower.onSnapshot((snapshot) => versions.push(snapshot.version));
--- a/test/support/listed_replicas.ts
+++ b/test/support/listed_replicas.ts
@@ -1,5 +1,5 @@
 /**
- * Replicas as a list of the platform has them, for tests.
+ * Entries of the platform's replica list, for tests.
  *
  * @module
  */
@@ -26,7 +26,7 @@
   };
 }
 
-/** So many of them, from `i-0` on. */
+/** `count` replicas, from `i-0` on. */
 export function buildListedReplicas(count: number): ListedReplica[] {
   return Array.from({ length: count }, (_, index) => buildListedReplica(index));
 }
--- a/test/support/loopback.ts
+++ b/test/support/loopback.ts
@@ -1,5 +1,5 @@
 /**
- * Sockets on loopback for tests, closed after each of them.
+ * Loopback sockets that are closed after each test.
  *
  * @module
  */
@@ -10,7 +10,7 @@
 
 export const LOOPBACK = "127.0.0.1";
 
-/** A raw connection that collects what it receives. */
+/** A raw connection that collects the received text. */
 export class RawClient {
   readonly socket: Socket;
   readonly #closed: Promise<void>;
@@ -53,9 +53,9 @@
   }
 }
 
-/** Resolves when `isTrue`; the test's own time limit ends it otherwise. */
-export async function waitUntil(isTrue: () => boolean): Promise<void> {
-  while (!isTrue()) await new Promise((resolve) => setTimeout(resolve, 2));
+/** Resolves once `isMet`; otherwise the test's time-out ends the wait. */
+export async function waitUntil(isMet: () => boolean): Promise<void> {
+  while (!isMet()) await new Promise((resolve) => setTimeout(resolve, 2));
 }
 
 /** Starts an HTTP server on loopback that is closed after the test. */
--- a/test/support/lossy_peers.ts
+++ b/test/support/lossy_peers.ts
@@ -1,5 +1,5 @@
 /**
- * Channels between VMs that lose, repeat and delay messages.
+ * Channels between VMs that lose, duplicate and delay messages.
  *
  * @module
  */
@@ -11,7 +11,7 @@
 
 const CALL_TIMEOUT_MS = 500;
 
-/** How often each fault comes, 0 to 1. */
+/** Probability of each fault, 0 to 1. */
 export interface ChannelFaults {
   loseCall: number;
   loseAnswer: number;
@@ -20,7 +20,7 @@
   maxDelayMs: number;
 }
 
-/** Peers behind channels that misbehave. */
+/** Peers behind faulty channels. */
 export class LossyPeers extends FakePeers {
   readonly #clock: Clock;
   readonly #random: Random;
@@ -48,29 +48,31 @@
   ): Promise<T> {
     const faults = this.#faults;
     const arrive = async () => {
-      if (this.#isDrawn(faults.delayCall)) await this.#sleepSome();
+      if (this.#isDrawn(faults.delayCall)) await this.#sleepRandomTime();
       return await deliver(super.getPeer(vm));
     };
     if (this.#isDrawn(faults.repeatCall)) {
-      // The repeat may come long after the call itself is over.
-      this.#sleepSome().then(() => deliver(super.getPeer(vm))).catch(() => {});
+      // The duplicate may arrive long after the call itself has ended.
+      this.#sleepRandomTime().then(() => deliver(super.getPeer(vm))).catch(
+        () => {},
+      );
     }
-    if (this.#isDrawn(faults.loseCall)) return await this.#waitForNothing();
+    if (this.#isDrawn(faults.loseCall)) return await this.#waitForTimeout();
     const answer = arrive();
     answer.catch(() => {});
-    if (this.#isDrawn(faults.loseAnswer)) return await this.#waitForNothing();
-    return await Promise.race([answer, this.#waitForNothing()]);
+    if (this.#isDrawn(faults.loseAnswer)) return await this.#waitForTimeout();
+    return await Promise.race([answer, this.#waitForTimeout()]);
   }
 
-  #isDrawn(share: number): boolean {
-    return this.#random.next() < share;
+  #isDrawn(probability: number): boolean {
+    return this.#random.next() < probability;
   }
 
-  #sleepSome(): Promise<void> {
+  #sleepRandomTime(): Promise<void> {
     return this.#clock.sleep(this.#random.nextInt(this.#faults.maxDelayMs));
   }
 
-  async #waitForNothing(): Promise<never> {
+  async #waitForTimeout(): Promise<never> {
     await this.#clock.sleep(CALL_TIMEOUT_MS);
     throw new Error("Call timed out");
   }
--- a/test/support/process_calls.ts
+++ b/test/support/process_calls.ts
@@ -1,5 +1,5 @@
 /**
- * Requests to a fleet of processes, and what came of them.
+ * Requests to a fleet of processes, and their results.
  *
  * @module
  */
@@ -14,7 +14,7 @@
 const PEAK_POLL_MS = 5;
 const AUTHORIZATION = { authorization: `Bearer ${CALLER_KEY}` };
 
-/** One request's end. */
+/** The result of one request. */
 export interface CallResult {
   requestId: string | undefined;
   result: HttpResult;
@@ -25,14 +25,14 @@
 /** A chat to send. */
 export interface ChatOptions {
   tokens: number;
-  /** Makes the prompt its own. */
+  /** Part of the prompt, which it makes unique. */
   name: string;
   requestId?: string;
-  /** The caller goes away when it aborts. */
+  /** The caller disconnects when it aborts. */
   signal?: AbortSignal;
 }
 
-/** Takes a request id at the VM that listens on `port`. */
+/** Fetches a new request id from the VM that listens on `port`. */
 export async function fetchRequestId(port: number): Promise<string> {
   const answer = await fetchJson<{ request_id: string }>({
     port,
@@ -43,8 +43,8 @@
   return answer.request_id;
 }
 
-/** What the fleet tells of a request. */
-export async function fetchFate(
+/** Fetches a request's status from the VM that listens on `port`. */
+export async function fetchRequestStatus(
   port: number,
   requestId: string,
 ): Promise<{ outcome: string; steps: { step: string; detail?: string }[] }> {
@@ -105,7 +105,7 @@
   );
 }
 
-/** Sends a look-up, whose target is one second. */
+/** Sends a look-up, whose total-time target is one second. */
 export async function sendLookup(
   port: number,
   name: string,
@@ -121,7 +121,7 @@
   );
 }
 
-/** How often a service carried the request out. */
+/** How often the services executed the request. */
 export function countExecutions(
   services: readonly ServiceServer[],
   requestId: string,
@@ -132,7 +132,7 @@
   );
 }
 
-/** Runs of the request at the engines. */
+/** The runs of the request on all engines. */
 export function listRuns(engines: readonly EngineServer[], requestId: string) {
   return engines.flatMap((engine) => [...engine.core.listRuns(requestId)]);
 }
@@ -173,8 +173,8 @@
   return result.headers["x-request-id"];
 }
 
-/** Notes the most requests that an engine ever ran at once. */
-export class PeakWatch {
+/** Samples the highest number of concurrent requests on any engine. */
+export class PeakMonitor {
   readonly #engines: readonly EngineServer[];
   readonly #timer: NodeJS.Timeout;
   #peak = 0;
@@ -184,8 +184,8 @@
     this.#timer = setInterval(() => this.#note(), PEAK_POLL_MS);
   }
 
-  static create(engines: readonly EngineServer[]): PeakWatch {
-    return new PeakWatch(engines);
+  static create(engines: readonly EngineServer[]): PeakMonitor {
+    return new PeakMonitor(engines);
   }
 
   get peak(): number {
--- a/test/support/process_fleet.ts
+++ b/test/support/process_fleet.ts
@@ -1,6 +1,6 @@
 /**
  * A fleet of real daemons on loopback. The stand-ins run in this process, so
- * that a test can look into them; relays stand where a test asks for them.
+ * that a test can inspect them; relays are inserted where options ask for them.
  *
  * @module
  */
@@ -29,7 +29,7 @@
 const DATA_CENTRES = ["montevideo-1", "montevideo-2"];
 const SECRET = "secret-of-the-fleet";
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export interface ProcessFleetOptions {
   /** The daemon's compiled module. */
   program: string;
@@ -44,7 +44,7 @@
   /** The daemons' `limits` settings. */
   limits?: Record<string, number>;
   logLevel?: "debug" | "info" | "warn";
-  /** Where connections go through relays. */
+  /** The kinds of connections that go through relays. */
   relays?: ("peers" | "upstreams" | "platform")[];
 }
 
@@ -67,8 +67,8 @@
   readonly services: ServiceServer[] = [];
   readonly vms: ProcessVm[] = [];
   /**
-   * By name of the VM or upstream behind it; `platform:VM` for the service as
-   * one VM reaches it.
+   * By the name of the VM or upstream behind the relay; `platform:VM` for the
+   * connections of one VM to the platform.
    */
   readonly relays = new Map<string, Relay>();
   list: PublishedVm[] = [];
@@ -82,7 +82,7 @@
     this.#children = ChildProcessGroup.create(this.#directory);
   }
 
-  /** Starts everything; resolves once each VM is ready and knows the fleet. */
+  /** Starts all processes; resolves once each VM is ready. */
   static async create(options: ProcessFleetOptions): Promise<ProcessFleet> {
     const fleet = new ProcessFleet(options);
     try {
@@ -99,13 +99,13 @@
     return this.vms.find((vm) => vm.id === id)!;
   }
 
-  /** Publishes records under the next version; gives the version. */
+  /** Publishes records under the next version and returns that version. */
   announceRecords(options: RecordOptions): number {
     const records = { ...this.#options.records, ...options };
     return this.platform.core.addVersion(buildGroups(records));
   }
 
-  /** Publishes the list with the named VMs in another state, or gone. */
+  /** Publishes the list with the given VMs in another state, or removed. */
   announceStates(states: Record<string, "live" | "leaving" | "gone">): number {
     this.list = this.list
       .filter((vm) => states[vm.id] !== "gone")
@@ -116,7 +116,7 @@
     return this.platform.core.addList(this.list);
   }
 
-  /** The VM that owns a pool's only shard, as all running VMs see it. */
+  /** Waits until the VMs in `among` agree on the owner of a pool's shard. */
   async findOwner(
     pool: string,
     among = this.vms,
@@ -138,7 +138,7 @@
     return found!;
   }
 
-  /** Kills what still runs and removes the files. */
+  /** Kills the remaining processes and removes the files. */
   async close(): Promise<void> {
     for (const child of this.#children.listAlive()) {
       await this.#children.destroy(child);
@@ -149,7 +149,7 @@
     rmSync(this.#directory, { recursive: true, force: true });
   }
 
-  /** The ends of the VMs' logs, for a failure's message. */
+  /** The last lines of the VMs' logs, for failure messages. */
   readLogTails(): string {
     return this.vms
       .map((vm) => readLogTail(join(this.#directory, `${vm.id}.log`)))
@@ -169,8 +169,12 @@
     this.platform.core.addList(this.list);
     for (const [index, entry] of entries.entries()) {
       const others = entries.filter((other) => other !== entry);
-      const way = `platform:${entry.id}`;
-      const sourcePort = await this.#findWay("platform", way, platformPort);
+      const relayName = `platform:${entry.id}`;
+      const sourcePort = await this.#findPort(
+        "platform",
+        relayName,
+        platformPort,
+      );
       this.vms.push(ProcessVm.create({
         id: entry.id,
         dataCentre: entry.data_centre,
@@ -204,7 +208,7 @@
       data_centre: DATA_CENTRES[index % DATA_CENTRES.length]!,
       address: "127.0.0.1",
       port: ports.callers,
-      peer_port: await this.#findWay("peers", id, ports.peers),
+      peer_port: await this.#findPort("peers", id, ports.peers),
     };
   }
 
@@ -238,14 +242,14 @@
       state: "live",
       data_centre: DATA_CENTRES[0]!,
       address: "127.0.0.1",
-      port: await this.#findWay("upstreams", id, port),
+      port: await this.#findPort("upstreams", id, port),
       peer_port: 0,
       pool: id.startsWith("engine") ? "engines" : "booking",
     };
   }
 
-  /** The port to use for a listener: its relay's where one is asked for. */
-  async #findWay(
+  /** The port through which to reach a listener: its relay's, if it has one. */
+  async #findPort(
     kind: "peers" | "upstreams" | "platform",
     id: string,
     port: number,
@@ -258,28 +262,30 @@
 }
 
 /**
- * Polls until `isTrue` gives true; resolves to the time that took in
- * milliseconds, rejects after `limitMs`.
+ * Polls until `isMet` returns true; resolves to the elapsed milliseconds and
+ * rejects after `limitMs`.
  */
 export async function waitUntil(
-  what: string,
+  description: string,
   limitMs: number,
-  isTrue: () => boolean | Promise<boolean>,
+  isMet: () => boolean | Promise<boolean>,
 ): Promise<number> {
   const startedAt = performance.now();
   let error = "";
   while (performance.now() - startedAt < limitMs) {
     try {
-      if (await isTrue()) return performance.now() - startedAt;
+      if (await isMet()) return performance.now() - startedAt;
     } catch (thrown) {
       error = `: ${String(thrown)}`;
     }
     await sleep(POLL_MS);
   }
-  throw new Error(`Waited ${limitMs} ms in vain for ${what}${error}`);
+  throw new Error(
+    `Timed out after ${limitMs} ms waiting for ${description}${error}`,
+  );
 }
 
-/** Resolves once every VM is ready and sees every other alive. */
+/** Resolves once every VM is ready. */
 export async function waitUntilReady(
   vms: readonly ProcessVm[],
 ): Promise<number> {
--- a/test/support/process_records.ts
+++ b/test/support/process_records.ts
@@ -11,17 +11,17 @@
 /** The model that the engines hold. */
 export const MODEL = "easy-read";
 
-/** What differs from fleet to fleet. */
+/** Options of the records. */
 export interface RecordOptions {
   /** Slots of each engine. */
   engineSlots?: number;
   /** Slots of each service replica. */
   serviceSlots?: number;
-  /** The version that the records ask for. */
+  /** The model version that the records require. */
   modelVersion?: string;
   engines?: number;
   fencing?: "checked" | "ignored";
-  /** Told apart versions that are otherwise alike. */
+  /** Distinguishes otherwise equal configuration versions. */
   requestsPerMinute?: number;
 }
 
@@ -40,7 +40,7 @@
   total_ms: 60_000,
 };
 
-/** Groups as `POST /control` of the platform's stand-in takes them. */
+/** Record groups in the form of `POST /control` of the platform stand-in. */
 export function buildGroups(
   options: RecordOptions = {},
 ): Record<string, unknown[]> {
--- a/test/support/process_vm.ts
+++ b/test/support/process_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One entry VM as a process: started, paused, killed and asked.
+ * One entry VM as a process that tests start, pause, kill and query.
  *
  * @module
  */
@@ -12,14 +12,14 @@
 } from "../../demo/child_process_group.ts";
 import { fetchJson, sendCall } from "../../demo/http_call.ts";
 
-/** Where a VM listens. */
+/** The ports of a VM's listeners. */
 export interface VmPorts {
   callers: number;
   peers: number;
   operators: number;
 }
 
-/** What a VM is started with. */
+/** Start options of a VM. */
 export interface ProcessVmOptions {
   id: string;
   dataCentre: string;
@@ -38,7 +38,7 @@
   seeds: { vm: string; address: string; peer_port: number }[];
 }
 
-/** What `GET /v1/status` tells. */
+/** The answer of `GET /v1/status`. */
 export interface VmStatus {
   vm: string;
   incarnation: string;
@@ -56,7 +56,7 @@
   }[];
 }
 
-/** What `GET /v1/versions` tells. */
+/** The answer of `GET /v1/versions`. */
 export interface VmVersions {
   vms: { vm: string; version: number; since_ms: number | null }[];
   history: { version: number; ageMs: number; from: string }[];
@@ -101,12 +101,12 @@
     return this.#child?.process.exitCode ?? null;
   }
 
-  /** Everything that the VM logged, over all its starts. */
+  /** The VM's complete log over all its starts. */
   readLog(): string {
     return readFileSync(this.#child!.logFile, "utf8");
   }
 
-  /** Starts the process, or starts it again with the same settings. */
+  /** Starts or restarts the process with the same settings. */
   start(): void {
     const { id, directory, program, children } = this.#options;
     const file = join(directory, `${id}.json`);
@@ -117,28 +117,28 @@
     });
   }
 
-  /** kill -9. */
+  /** Kills the process with SIGKILL. */
   async destroy(): Promise<void> {
     if (this.#child === undefined) return;
     await this.#options.children.destroy(this.#child);
   }
 
-  /** SIGTERM: the process drains and ends by itself. */
+  /** Sends SIGTERM: the process drains and exits by itself. */
   drain(): void {
     this.#child?.process.kill("SIGTERM");
   }
 
-  /** SIGSTOP. */
+  /** Pauses the process with SIGSTOP. */
   stop(): void {
     this.#child?.process.kill("SIGSTOP");
   }
 
-  /** SIGCONT. */
+  /** Continues the process with SIGCONT. */
   resume(): void {
     this.#child?.process.kill("SIGCONT");
   }
 
-  /** Whether `/readyz` says so. */
+  /** Whether `/readyz` answers 200. */
   async isReady(): Promise<boolean> {
     const call = {
       port: this.#options.ports.operators,
@@ -157,12 +157,12 @@
     return await this.#askOperator<VmVersions>("GET", "/v1/versions");
   }
 
-  /** The operators' drain. */
+  /** Starts a drain through the operator API. */
   async startDrain(): Promise<void> {
     await this.#askOperator("POST", "/v1/drain");
   }
 
-  /** Addresses that this VM gives to callers, by name of the VM. */
+  /** Fetches the entry VMs and ports that this VM returns to callers. */
   async fetchEntries(limit = 64): Promise<{ vm: string; port: number }[]> {
     const answer = await fetchJson<{
       entries: { vm: string; port: number }[];
--- a/test/support/relay.ts
+++ b/test/support/relay.ts
@@ -1,5 +1,5 @@
 /**
- * A small TCP relay on loopback that fails in chosen ways.
+ * A TCP relay on loopback with configurable faults.
  *
  * @module
  */
@@ -7,29 +7,29 @@
 import { connect, createServer } from "node:net";
 import { DelayLine } from "./delay_line.ts";
 
-/** What the relay does with connections. */
+/** How the relay handles a connection. */
 export type RelayMode =
-  /** Passes bytes on. */
+  /** Forwards all bytes. */
   | "pass"
-  /** Takes bytes and passes none on, without closing: silence. */
+  /** Accepts and drops bytes of both sides without closing: silence. */
   | "swallow"
-  /** The same for what the server sends, while it hears the client. */
+  /** Drops only the server's bytes; the client's are forwarded. */
   | "swallow_back"
   /** Closes each new connection at once. */
   | "refuse";
 
-interface Pair {
-  near: Socket;
-  far: Socket;
+interface Connection {
+  client: Socket;
+  server: Socket;
   mode: RelayMode;
 }
 
-/** Stands between a client and a server. */
+/** A relay between clients and a server. */
 export class Relay {
   readonly #target: { host: string; port: number };
   readonly #server: Server;
-  readonly #pairs = new Set<Pair>();
-  /** One side of a silent pair may be open while the other is gone. */
+  readonly #connections = new Set<Connection>();
+  /** One side of a silent connection may be open after the other has closed. */
   readonly #sockets = new Set<Socket>();
   #modeForNew: RelayMode = "pass";
   #delayMs = 0;
@@ -38,8 +38,8 @@
 
   constructor(target: { host: string; port: number }) {
     this.#target = target;
-    this.#server = createServer({ allowHalfOpen: true }, (near) => {
-      this.#handle(near);
+    this.#server = createServer({ allowHalfOpen: true }, (client) => {
+      this.#handle(client);
     });
   }
 
@@ -61,45 +61,45 @@
     return this.#accepted;
   }
 
-  /** Bytes taken from both sides so far. */
+  /** Bytes received from both sides so far. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** Connections open now. */
+  /** The number of open connections. */
   get open(): number {
-    return this.#pairs.size;
+    return this.#connections.size;
   }
 
-  /** Sets the mode of connections that are open now. */
+  /** Sets the mode of the open connections. */
   setModeOfOpen(mode: RelayMode): void {
-    for (const pair of this.#pairs) pair.mode = mode;
+    for (const connection of this.#connections) connection.mode = mode;
   }
 
-  /** Sets the mode of connections that come later. */
+  /** Sets the mode of later connections. */
   setModeOfNew(mode: RelayMode): void {
     this.#modeForNew = mode;
   }
 
-  /** Holds each chunk back for `ms`. */
+  /** Delays each chunk by `ms`. */
   setDelay(ms: number): void {
     this.#delayMs = ms;
   }
 
   /** Cuts open connections: by FIN, or by RST when `reset` is set. */
   destroyOpen(options: { reset?: boolean } = {}): void {
-    for (const { near, far } of this.#pairs) {
+    for (const { client, server } of this.#connections) {
       if (options.reset) {
-        near.resetAndDestroy();
-        far.resetAndDestroy();
+        client.resetAndDestroy();
+        server.resetAndDestroy();
       } else {
-        near.destroy();
-        far.destroy();
+        client.destroy();
+        server.destroy();
       }
     }
   }
 
-  /** Stops listening, as a process that died, and cuts what is open. */
+  /** Stops listening, like a process that ended, and cuts open connections. */
   async close(): Promise<void> {
     this.destroyOpen();
     this.#sockets.forEach((socket) => socket.destroy());
@@ -107,49 +107,49 @@
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  #handle(near: Socket): void {
+  #handle(client: Socket): void {
     this.#accepted += 1;
     if (this.#modeForNew === "refuse") {
-      near.resetAndDestroy();
+      client.resetAndDestroy();
       return;
     }
-    const far = connect({ ...this.#target, allowHalfOpen: true });
-    near.setNoDelay(true);
-    far.setNoDelay(true);
-    const pair: Pair = { near, far, mode: this.#modeForNew };
-    this.#pairs.add(pair);
-    for (const socket of [near, far]) {
+    const server = connect({ ...this.#target, allowHalfOpen: true });
+    client.setNoDelay(true);
+    server.setNoDelay(true);
+    const connection: Connection = { client, server, mode: this.#modeForNew };
+    this.#connections.add(connection);
+    for (const socket of [client, server]) {
       this.#sockets.add(socket);
       socket.on("close", () => this.#sockets.delete(socket));
     }
-    this.#copyBytes(near, far, pair);
-    this.#copyBytes(far, near, pair);
+    this.#copyBytes(client, server, connection);
+    this.#copyBytes(server, client, connection);
   }
 
-  #copyBytes(from: Socket, to: Socket, pair: Pair): void {
+  #copyBytes(from: Socket, to: Socket, connection: Connection): void {
     const line = DelayLine.create();
     from.on("data", (chunk) => {
       this.#bytes += chunk.length;
-      if (isSwallowed(from, pair)) return;
+      if (isDropped(from, connection)) return;
       line.add(this.#delayMs, () => {
-        if (isSwallowed(from, pair) || to.destroyed) return;
+        if (isDropped(from, connection) || to.destroyed) return;
         if (!to.write(chunk)) from.pause();
       });
     });
     to.on("drain", () => from.resume());
     from.on("end", () => {
-      if (isSwallowed(from, pair)) return;
+      if (isDropped(from, connection)) return;
       line.add(this.#delayMs, () => void to.end());
     });
     from.on("error", () => to.destroy());
     from.on("close", () => {
-      this.#pairs.delete(pair);
-      if (isSwallowed(from, pair)) return;
+      this.#connections.delete(connection);
+      if (isDropped(from, connection)) return;
       line.add(this.#delayMs, () => to.destroySoon());
     });
   }
 }
 
-function isSwallowed(from: Socket, { mode, far }: Pair): boolean {
-  return mode === "swallow" || (mode === "swallow_back" && from === far);
+function isDropped(from: Socket, { mode, server }: Connection): boolean {
+  return mode === "swallow" || (mode === "swallow_back" && from === server);
 }
--- a/test/support/relay_test.ts
+++ b/test/support/relay_test.ts
@@ -5,7 +5,7 @@
 
 const DELAY_MS = 50;
 
-/** A server that sends what it is told to, behind a relay. */
+/** A server behind a relay, with functions to send and to end. */
 async function createRelayed() {
   let send: (text: string) => void = () => {};
   let end: () => void = () => {};
@@ -33,8 +33,8 @@
   return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-// Guards against a relay that mixes up the bytes of a connection.
-it("a delay that ends holds no bytes back behind later ones", async () => {
+// Guards against a relay that reorders the bytes of a connection.
+it("keeps the order of bytes when the delay ends", async () => {
   const { relay, client, send } = await createRelayed();
   relay.setDelay(DELAY_MS);
   send("1");
@@ -45,7 +45,7 @@
   expect(client.received).toBe("12");
 });
 
-it("an end comes after what is held back", async () => {
+it("ends a connection only after delayed bytes", async () => {
   const { relay, client, send, end } = await createRelayed();
   relay.setDelay(DELAY_MS);
   send("1");
--- a/test/support/request_fakes.ts
+++ b/test/support/request_fakes.ts
@@ -1,5 +1,5 @@
 /**
- * Small fakes at the edges of a request: slots, limits, callers, metrics.
+ * Fakes of a request's collaborators: slots, limits, callers, metrics.
  *
  * @module
  */
@@ -33,7 +33,7 @@
 
 const LEASE_TTL_MS = 2_000;
 
-/** A caller that remembers what it got. */
+/** A caller that records its answer. */
 export class FakeSink extends CallerSink {
   readonly controller = new AbortController();
   status = 0;
@@ -41,7 +41,7 @@
   chunks: Uint8Array[] = [];
   isEnded = false;
   isDestroyed = false;
-  /** Called at each write; resolves when the caller can take more. */
+  /** Called at each write; resolves when the caller is ready for more. */
   onWrite: (bytes: Uint8Array) => Promise<void> = () => Promise.resolve();
 
   get signal(): AbortSignal {
@@ -61,20 +61,20 @@
     return JSON.parse(this.text);
   }
 
-  /** Whether the answer was ended as a whole one. */
+  /** Whether the answer ended as a complete one. */
   get isWhole(): boolean {
     return this.isEnded && !this.isDestroyed;
   }
 
   writeHead(status: number, headers: Record<string, string>): void {
-    if (this.headWritten) throw new Error("Head was written twice");
+    if (this.headWritten) throw new Error("Head written twice");
     this.status = status;
     this.headers = headers;
   }
 
   async write(bytes: Uint8Array): Promise<void> {
-    if (!this.headWritten) throw new Error("Head was not written");
-    if (this.isEnded) throw new Error("Write after the end");
+    if (!this.headWritten) throw new Error("Body written before its head");
+    if (this.isEnded) throw new Error("Body written after its end");
     if (this.signal.aborted || this.isDestroyed) return;
     this.chunks.push(Uint8Array.from(bytes));
     await this.onWrite(bytes);
@@ -90,7 +90,7 @@
   }
 }
 
-/** A lease that stands for `LEASE_TTL_MS` unless a test shortens it. */
+/** A lease that is valid for `LEASE_TTL_MS` after its request. */
 export class FakeLease extends HeldLease {
   readonly lease = toId<LeaseId>("lease");
   readonly priority = 7;
@@ -98,32 +98,32 @@
   readonly request: LeaseRequest;
   readonly upstream: VmId;
   readonly #clock: Clock;
-  readonly #standsUntil: number;
+  readonly #validUntil: number;
   releases: string[] = [];
   progress: LeaseProgress | undefined;
 
   constructor(
     request: LeaseRequest,
-    options: { upstream: VmId; clock: Clock; askedAt: number },
+    options: { upstream: VmId; clock: Clock; requestedAt: number },
   ) {
     super();
     this.request = request;
     this.upstream = options.upstream;
     this.#clock = options.clock;
-    this.#standsUntil = options.askedAt + LEASE_TTL_MS;
+    this.#validUntil = options.requestedAt + LEASE_TTL_MS;
   }
 
   get preempted(): AbortSignal {
     return this.preemption.signal;
   }
 
-  /** What the slot was given back as. */
+  /** The state with which the slot was released. */
   get state(): string | undefined {
     return this.releases[0];
   }
 
   isValid(): boolean {
-    return this.#clock.now() < this.#standsUntil;
+    return this.#clock.now() < this.#validUntil;
   }
 
   noteProgress(progress: LeaseProgress): void {
@@ -135,12 +135,12 @@
   }
 }
 
-/** Grants a slot on the first upstream that is not to be avoided. */
+/** Grants a slot on the first upstream that the request does not avoid. */
 export class FakeLeases extends LeaseSource {
   readonly leases: FakeLease[] = [];
   readonly #clock: Clock;
   readonly #upstreams: VmId[];
-  /** How long each grant takes to arrive, in order; then none. */
+  /** Delay of each grant in order, in milliseconds; later ones have none. */
   delaysMs: number[] = [];
   onGrant: (lease: FakeLease) => void = () => {};
 
@@ -154,7 +154,7 @@
     request: LeaseRequest,
     options: { signal: AbortSignal },
   ): Promise<HeldLease> {
-    const askedAt = this.#clock.now();
+    const requestedAt = this.#clock.now();
     const delayMs = this.delaysMs.shift() ?? 0;
     if (delayMs > 0) await this.#clock.sleep(delayMs, options.signal);
     if (options.signal.aborted) throw refuse("cancelled");
@@ -164,7 +164,7 @@
     const lease = new FakeLease(request, {
       upstream,
       clock: this.#clock,
-      askedAt,
+      requestedAt,
     });
     this.leases.push(lease);
     this.onGrant(lease);
@@ -176,7 +176,7 @@
   return new RefusalError({ code, message: code, outcome: "not_run" });
 }
 
-/** Admits everything and remembers the charges. */
+/** Admits all requests and records the charges. */
 export class FakeLimits extends LimitSource {
   admitted: number[] = [];
   settled: { estimated: number; actual: number }[] = [];
@@ -196,7 +196,7 @@
   }
 }
 
-/** Keeps every finished request. */
+/** Records every finished request. */
 export class FakeMetrics extends RequestMetrics {
   finished: FinishedRequest[] = [];
   phases: string[] = [];
@@ -210,11 +210,11 @@
   }
 }
 
-/** Upstreams that answer what a function says. */
+/** Upstreams whose answers a function computes. */
 export class FakeUpstreams extends UpstreamTransport {
   readonly calls: UpstreamCall[] = [];
   answer: (call: UpstreamCall, index: number) => Promise<UpstreamAnswer> = () =>
-    Promise.reject(new Error("No answer was set"));
+    Promise.reject(new Error("FakeUpstreams.answer is not set"));
 
   send(call: UpstreamCall): Promise<UpstreamAnswer> {
     this.calls.push(call);
@@ -238,7 +238,7 @@
   }
 }
 
-/** Peers by name; the others cannot be reached. */
+/** Peers by name; calls to any other VM fail. */
 export class FakePeers extends PeerDirectory {
   readonly peers = new Map<string, PeerApi>();
 
@@ -249,7 +249,7 @@
   }
 }
 
-/** Keeps every line. */
+/** Records every line. */
 export class FakeLog extends Log {
   lines: { level: LogLevel; event: string; fields: LogFields }[] = [];
 
@@ -258,7 +258,7 @@
   }
 }
 
-/** An environment of fakes. */
+/** Builds an environment of fakes. */
 export function buildEnvironment(
   clock: Clock,
   options: {
@@ -283,7 +283,7 @@
   };
 }
 
-/** A caller's request with the test workspace's key. */
+/** Builds a caller's request with the test workspace's key. */
 export function buildRequest(
   method: string,
   path: string,
--- a/test/support/request_status_examples.ts
+++ b/test/support/request_status_examples.ts
@@ -1,12 +1,12 @@
 /**
- * Records of fates for tests.
+ * Request statuses for tests.
  *
  * @module
  */
 import { type RequestId, toId, type VmId } from "../../src/ids.ts";
 import type { RequestStatus } from "../../src/request/request_status.ts";
 
-/** The record of a request that runs and has taken no step yet. */
+/** The status of a running request without any step yet. */
 export function buildRunningStatus(requestId: RequestId): RequestStatus {
   return {
     requestId,
--- a/test/support/request_vm.ts
+++ b/test/support/request_vm.ts
@@ -1,5 +1,5 @@
 /**
- * One VM's request side over fakes, with a small configuration.
+ * One VM's request handling over fakes, with a small configuration.
  *
  * @module
  */
@@ -42,7 +42,7 @@
   FakeUpstreams,
 } from "./request_fakes.ts";
 
-/** A VM whose neighbours on every side are fakes. */
+/** A VM whose callers, upstreams, owners and metrics are fakes. */
 export class RequestVm {
   readonly clock: Clock;
   readonly peers: FakePeers;
@@ -51,7 +51,7 @@
   readonly limits = new FakeLimits();
   readonly metrics = new FakeMetrics();
   readonly log = new FakeLog();
-  readonly fates = RequestStatusStore.create();
+  readonly requestStatuses = RequestStatusStore.create();
   readonly quarantine: RequestQuarantine;
   readonly answers = AnswerStore.create();
   readonly claims: ProcessExecutionClaims;
@@ -69,7 +69,7 @@
       peers?: FakePeers;
       upstreams?: string[];
       retryShare?: number;
-      /** Real upstreams in the place of the fakes. */
+      /** Real upstreams instead of the fakes. */
       transport?: UpstreamTransport;
     } = {},
   ) {
@@ -92,10 +92,10 @@
       announce: () => {},
     });
     this.claims = ProcessExecutionClaims.create(environment);
-    const { fates, answers, claims } = this;
+    const { requestStatuses, answers, claims } = this;
     this.finder = RequestStatusFinder.create({
       environment,
-      requestStatuses: fates,
+      requestStatuses,
       answers,
       claims,
     });
@@ -105,7 +105,7 @@
       leases: this.leases,
       limits: this.limits,
       claims,
-      requestStatuses: fates,
+      requestStatuses,
       answers,
       retryBudget: WindowRetryBudget.create({
         clock,
@@ -116,12 +116,13 @@
       metrics: this.metrics,
       isDraining: () => this.isDraining,
       entries: () => ({ entries: [] }),
-      findStatus: (id, fateOptions) => this.finder.findStatus(id, fateOptions),
+      findStatus: (id, statusOptions) =>
+        this.finder.findStatus(id, statusOptions),
     });
     this.peers.peers.set(environment.vm, this.createPeer());
   }
 
-  /** Starts a request; the promise is over when its task is. */
+  /** Starts a request; `done` resolves when its task has ended. */
   send(
     request: CallerRequest,
   ): { sink: FakeSink; done: Promise<void> } {
@@ -130,7 +131,7 @@
     return { sink, done };
   }
 
-  /** The calls of `PeerApi` that requests need, answered by this VM. */
+  /** The part of `PeerApi` that requests use, handled by this VM. */
   createPeer(): PeerApi {
     const peer: Pick<PeerApi, "claimRun" | "settleRun" | "findFate"> = {
       claimRun: (call: ClaimCall): Promise<ClaimAnswer> =>
--- a/test/support/scripted_engine.ts
+++ b/test/support/scripted_engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine's answers as bytes, cut and mixed up where a test says so.
+ * A model engine's answers as bytes, with faults that tests configure.
  *
  * @module
  */
@@ -11,24 +11,24 @@
 } from "../../src/connection/upstream_transport.ts";
 import type { Clock } from "../../src/process/clock.ts";
 
-/** What goes wrong in one answer. */
+/** A fault in one answer. */
 export interface EngineFault {
-  /** The stream breaks after so many bytes. */
+  /** The number of bytes after which the stream breaks. */
   breakAt?: number;
   kind?: UpstreamErrorKind;
   mayHaveRun?: boolean;
-  /** Fails before there is a head. */
+  /** Fails before the response head. */
   failsAtHead?: boolean;
-  /** Ends as if it were whole instead of breaking. */
+  /** Ends like a complete answer instead of breaking. */
   endsSilently?: boolean;
-  /** Another request's id in the answer, from that event on. */
+  /** Index of the first event that has another request's id. */
   wrongIdFrom?: number;
 }
 
 const TOKENS = ["La", " oficina", " señora", " día", " žádost", " 🙂", " fin"];
 const FIRST_CREATED = 1_000;
 
-/** The events of one engine's answer; `created` tells engines apart. */
+/** Builds the events of an engine's answer; `created` identifies the engine. */
 export function buildEngineEvents(
   call: Pick<UpstreamCall, "headers" | "body">,
   options: { engine: number; wrongIdFrom?: number },
@@ -36,7 +36,7 @@
   const body = JSON.parse(Buffer.from(call.body).toString("utf8"));
   const resumed = Number(call.headers["x-resume-tokens"] ?? 0);
   if (resumed > 0 && body.resume_text !== TOKENS.slice(0, resumed).join("")) {
-    throw new Error("Resumed with the wrong text");
+    throw new Error("resume_text does not match the resumed tokens");
   }
   const isChat = body.messages !== undefined;
   const id = call.headers["x-request-id"]!;
@@ -63,7 +63,7 @@
   TOKENS.slice(resumed).forEach((token) => add(buildChoice(token, null)));
   add(buildChoice("", "stop"));
   if (body.stream_options?.include_usage) {
-    // Counts its own tokens only, as an engine that resumes may.
+    // An engine that resumes may count only the tokens that it generated.
     const own = TOKENS.length - resumed;
     add(undefined, {
       prompt_tokens: 5,
@@ -75,7 +75,7 @@
   return [...lines, "[DONE]"].map((line) => `data: ${line}\n\n`);
 }
 
-/** An engine's streamed answer with a fault in it. */
+/** Answers with a stream that has the fault. */
 export function answerStream(
   call: UpstreamCall,
   options: {
@@ -102,7 +102,7 @@
   };
 }
 
-/** A whole answer of JSON. */
+/** Answers with a complete JSON body. */
 export function answerJson(status: number, value: unknown): UpstreamAnswer {
   return {
     status,
@@ -111,7 +111,7 @@
   };
 }
 
-/** The error of a failed call. */
+/** Creates the error of a failed call. */
 export function createError(
   call: Pick<UpstreamCall, "upstream">,
   fault: EngineFault,
--- a/test/support/steady_load.ts
+++ b/test/support/steady_load.ts
@@ -1,6 +1,5 @@
 /**
- * A small fleet in virtual time, and a steady load on its upstreams of one
- * kind.
+ * A small fleet in virtual time with a steady load on upstreams of one kind.
  *
  * @module
  */
@@ -11,12 +10,12 @@
 
 const USER = "kontrola_sever";
 const VMS = 3;
-const SEND_EVERY_MS = 100;
+const SEND_INTERVAL_MS = 100;
 
-/** What upstreams run. */
+/** Whether upstreams are model engines or service replicas. */
 export type UpstreamKind = "model" | "service";
 
-/** A fleet that serves. */
+/** Creates a serving fleet. */
 export function createSteadyWorld(): Promise<FuzzWorld> {
   return FuzzWorld.create({
     user: USER,
@@ -26,15 +25,15 @@
   });
 }
 
-/** The first upstream of a kind. */
+/** Finds the first upstream of a kind. */
 export function findUpstream(world: FuzzWorld, kind: UpstreamKind): VmId {
   const { engines, services } = world.upstreams;
   const [first] = kind === "model" ? engines.keys() : services.keys();
   return first!;
 }
 
-/** Sends work that may be repeated at one VM after the other for `ms`. */
-export async function sendFor(
+/** Sends idempotent requests to the VMs in turn for `ms`. */
+export async function sendLoad(
   world: FuzzWorld,
   kind: UpstreamKind,
   ms: number,
@@ -43,24 +42,24 @@
     ({ maxOutputTokens, idempotent }) =>
       idempotent && (maxOutputTokens > 1) === (kind === "model"),
   );
-  for (let at = 0; at < ms; at += SEND_EVERY_MS) {
-    const lives = world.listLives();
-    const life = lives[(at / SEND_EVERY_MS) % lives.length]!;
+  for (let at = 0; at < ms; at += SEND_INTERVAL_MS) {
+    const vms = world.listLiveVms();
+    const vm = vms[(at / SEND_INTERVAL_MS) % vms.length]!;
     const request = world.buildRequest({
       classIndex,
-      workspaceIndex: at / SEND_EVERY_MS,
+      workspaceIndex: at / SEND_INTERVAL_MS,
       tokens: 2,
       promptTokens: 10,
       streamed: true,
       once: false,
     });
-    world.send(life, request);
-    await world.run(SEND_EVERY_MS);
+    world.send(vm, request);
+    await world.run(SEND_INTERVAL_MS);
   }
 }
 
-/** When requests were sent to an upstream from `since` on. */
-export function listSentAt(
+/** Lists the times of requests sent to an upstream from `since` on. */
+export function listSendTimes(
   world: FuzzWorld,
   upstream: VmId,
   since: number,
--- a/test/support/tls_pairs.ts
+++ b/test/support/tls_pairs.ts
@@ -1,17 +1,17 @@
 /**
- * Two self-signed pairs for loopback, valid for a hundred years.
+ * Two self-signed TLS key pairs for loopback, valid for a hundred years.
  *
  * @module
  */
 import { readFileSync } from "node:fs";
 import type { ServerTls } from "../../src/connection/index.ts";
 
-const FOLDER = new URL("../connection/fixtures/", import.meta.url);
+const FIXTURES = new URL("../connection/fixtures/", import.meta.url);
 
-/** Reads a pair; `cert` also serves as the authority that vouches for it. */
+/** Reads a key pair; `cert` also serves as its certificate authority. */
 export function readTls(name: "a" | "b"): ServerTls {
   return {
-    key: readFileSync(new URL(`tls_${name}.key.pem`, FOLDER), "utf8"),
-    cert: readFileSync(new URL(`tls_${name}.cert.pem`, FOLDER), "utf8"),
+    key: readFileSync(new URL(`tls_${name}.key.pem`, FIXTURES), "utf8"),
+    cert: readFileSync(new URL(`tls_${name}.cert.pem`, FIXTURES), "utf8"),
   };
 }
