--- a/bench/clairvoyant.ts
+++ b/bench/clairvoyant.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Returns an upper bound of the tokens that callers can receive by
- * `durationMs`, for any scheduler.
+ * Returns an upper bound of the tokens of model answers that callers can
+ * receive by `durationMs`, for any scheduler. Services do not count.
  *
  * Each token costs at least its share of a step with a full batch, each prompt
  * at least the prefill of its unique part, and no request generates faster than
--- a/bench/experiments/ages_table.ts
+++ b/bench/experiments/ages_table.ts
@@ -60,7 +60,10 @@
   return formatShare(sum.outOfOrder, sum.pairs, 2);
 }
 
-/** Formats the share of requests that met their targets, for classes below 1. */
+/**
+ * Formats the share of requests that met their targets, for each class in which
+ * not all did.
+ */
 function formatMet(group: readonly AgesFigures[]): string {
   const parts = Object.keys(group[0]!.classes).flatMap((name) => {
     const counts = group.map((run) => run.classes[name]!);
--- a/bench/fleet_changes.ts
+++ b/bench/fleet_changes.ts
@@ -35,7 +35,7 @@
 }
 
 /**
- * Time from publication until the version is in force on all VMs; only
+ * Time from publication until the version is active on all VMs; only
  * `readers` VMs reach the service.
  */
 export async function collectVersionTimes(
--- a/bench/fleet_control_main.ts
+++ b/bench/fleet_control_main.ts
@@ -35,7 +35,7 @@
   );
   const atLarge = formatFigure(start + slope * LARGE);
   writeLine(
-    `${name}: ${formatFigure(start)} + ${slope.toPrecision(3)} a VM; ` +
+    `${name}: ${formatFigure(start)} + ${slope.toPrecision(3)} per VM; ` +
       `line at ${LARGE}: ${atLarge}, measured: ${formatFigure(large[name])}`,
   );
 }
--- a/bench/oracle.ts
+++ b/bench/oracle.ts
@@ -141,7 +141,7 @@
   return evidence.preemptions.flatMap(({ requestId, upstream, at }) => {
     const taken = byId.get(requestId);
     const next = evidence.attempts
-      .find((send) => send.upstream === upstream && send.at >= at);
+      .find((attempt) => attempt.upstream === upstream && attempt.at >= at);
     const taker = next && byTag.get(next.tag);
     if (taken === undefined || taker === undefined) return [];
     if (taker.rank <= taken.rank) return [];
--- a/bench/overhead/main.ts
+++ b/bench/overhead/main.ts
@@ -161,7 +161,7 @@
     const mib = (residentBytes / 1_048_576).toFixed(0);
     lines.push(
       `  ${String(streams).padStart(5)} streams ${mib.padStart(5)} MiB, ` +
-        `${kib.toFixed(1)} KiB a stream`,
+        `${kib.toFixed(1)} KiB per stream`,
     );
   }
   return `${lines.join("\n")}\n`;
@@ -173,9 +173,9 @@
   for (const { way, tokens, requests, cpuMs } of figures) {
     const perToken = cpuMs / tokens;
     lines.push(
-      `  ${way.padEnd(24)} ${(perToken * 1_000).toFixed(1)} µs a token ` +
+      `  ${way.padEnd(24)} ${(perToken * 1_000).toFixed(1)} µs per token ` +
         `(${(perToken / base).toFixed(2)} of the pipe), ` +
-        `${(cpuMs / requests).toFixed(2)} ms a request, a core carries ` +
+        `${(cpuMs / requests).toFixed(2)} ms per request, one core handles ` +
         `${Math.round(1_000 / perToken)} tokens/s or ` +
         `${Math.round(1_000 * requests / cpuMs)} requests/s`,
     );
--- a/bench/recovery/changes.ts
+++ b/bench/recovery/changes.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the time from the publication of a configuration until it is in
- * force on all VMs.
+ * Measures the time from the publication of a configuration until it is
+ * active on all VMs.
  *
  * @module
  */
--- a/bench/recovery/costs.ts
+++ b/bench/recovery/costs.ts
@@ -20,7 +20,10 @@
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** Means per VM; `largest…` is the maximum of all VMs. */
+/**
+ * Means per VM; `largest…` is the maximum of all VMs. The counts and the rate of
+ * requests are of the whole fleet.
+ */
 export interface CostFigures {
   requestsPerSecond: number;
   answered: number;
--- a/bench/recovery/leaving.ts
+++ b/bench/recovery/leaving.ts
@@ -14,7 +14,10 @@
 const RETURN_MS = 6_000;
 const POLL_MS = 5;
 
-/** Times from the leaving notice to the last new request at the engine. */
+/**
+ * Times from the announcement that an engine leaves, by the membership list or
+ * by its own notice, to the last new request at the engine.
+ */
 export interface LeavingFigures {
   byList: Summary;
   byOwnWord: Summary;
--- a/bench/recovery/report.ts
+++ b/bench/recovery/report.ts
@@ -29,12 +29,12 @@
   const { changes, losses, leaving, callers, restarts, costs } = figures;
   lines.push(renderRow("time in ms", ["count", "p50", "p99", "worst"]));
   if (changes) {
-    lines.push(renderTimes("change in force, service up", changes.serviceUp));
-    lines.push(renderTimes("change in force, two readers", changes.twoReaders));
+    lines.push(renderTimes("change active, service up", changes.serviceUp));
+    lines.push(renderTimes("change active, two readers", changes.twoReaders));
   }
   if (losses) {
-    lines.push(renderTimes("dead VM noticed, first", losses.noticedFirst));
-    lines.push(renderTimes("dead VM noticed, last", losses.noticedByAll));
+    lines.push(renderTimes("dead VM detected, first", losses.noticedFirst));
+    lines.push(renderTimes("dead VM detected, last", losses.noticedByAll));
     lines.push(renderTimes("shard taken over", losses.shardTaken));
     lines.push(renderTimes("first answer after it", losses.firstAnswer));
     lines.push(renderTimes("longest wait after it", losses.longestWait));
@@ -50,7 +50,7 @@
   }
   if (changes) {
     lines.push(
-      `service calls a second: ${formatCalls(changes.callsPerSecond)}`,
+      `service calls per second: ${formatCalls(changes.callsPerSecond)}`,
     );
   }
   if (losses) {
@@ -90,16 +90,16 @@
 function renderCallers({ balance, afterKill }: CallerFigures): string[] {
   return [
     `first entries of ${balance.callers} callers: least ${balance.least}, ` +
-    `most ${balance.most}, mean ${balance.mean} a VM`,
+    `most ${balance.most}, mean ${balance.mean} per VM`,
     `after a kill: ${afterKill.calls} calls, ${afterKill.refusedConnects} ` +
-    `refused connections, ${afterKill.cut} cut, ${afterKill.notAnswered} ` +
+    `refused connections, ${afterKill.cut} broken, ${afterKill.notAnswered} ` +
     `not answered; last hit after ${afterKill.lastHitMs} ms`,
   ];
 }
 
 function renderCost(what: string, cost: CostFigures): string {
   return `${what}: ${cost.requestsPerSecond} requests/s, ` +
-    `${cost.notAnswered} not answered; for each VM ` +
+    `${cost.notAnswered} not answered; per VM ` +
     `${Math.round(cost.peerBytesPerSecond)} B/s between VMs, ` +
     `${Math.round(cost.serviceBytesPerSecond)} B/s with the service, ` +
     `${(100 * cost.coreShare).toFixed(2)}% of a core ` +
--- a/bench/report.ts
+++ b/bench/report.ts
@@ -41,7 +41,7 @@
     `${formatShare(share)} of the clairvoyant bound; ` +
     `wasted ${Math.round(figures.wastedTokens)} tokens ` +
     `(${formatShare(waste)}); ` +
-    `${figures.sendsPerRequest.toFixed(3)} sends a request; ` +
+    `${figures.sendsPerRequest.toFixed(3)} attempts per request; ` +
     `${figures.preemptions} preemptions`,
     `guarantees violated: ${formatCounts(figures.broken)}`,
     ...figures.brokenExamples.map((line) => `  ${line}`),
--- a/bench/slopes/target.ts
+++ b/bench/slopes/target.ts
@@ -33,8 +33,8 @@
 } as const;
 
 /**
- * Limits of the control plane's cost per VM; `serviceCalls` is for the whole
- * fleet.
+ * Limits of the control plane's cost per VM: rates per second, and memory.
+ * `serviceCalls` is the rate of the whole fleet.
  */
 export const LIMITS = {
   processorMs: 24,
--- a/bench/support/answer_pipe.ts
+++ b/bench/support/answer_pipe.ts
@@ -32,7 +32,7 @@
 export class AnswerPipe implements AnswerWriter {
   readonly answer: Promise<UpstreamAnswer>;
   readonly #options: PipeOptions;
-  readonly #watch: CallTimer;
+  readonly #timer: CallTimer;
   readonly #encoder = new TextEncoder();
   readonly #onAbort = () => this.#endWith("aborted");
   #resolveHead: (answer: UpstreamAnswer) => void = () => {};
@@ -52,7 +52,7 @@
       this.#resolveHead = resolve;
       this.#rejectHead = reject;
     });
-    this.#watch = CallTimer.create(clock, call.timeouts, {
+    this.#timer = CallTimer.create(clock, call.timeouts, {
       onTimeout: (kind) => this.#endWith(kind),
     });
     call.signal.addEventListener("abort", this.#onAbort, { once: true });
@@ -113,7 +113,7 @@
   }
 
   #close(): void {
-    this.#watch.stop();
+    this.#timer.stop();
     this.#options.call.signal.removeEventListener("abort", this.#onAbort);
     this.#wake?.();
   }
@@ -123,13 +123,13 @@
       while (true) {
         const piece = this.#pieces.shift();
         if (piece !== undefined) {
-          this.#watch.noteByte();
+          this.#timer.noteByte();
           yield piece;
           continue;
         }
         if (this.#error !== undefined) throw this.#error;
         if (this.#isEnded) return;
-        this.#watch.noteWaiting();
+        this.#timer.noteWaiting();
         await new Promise<void>((resolve) => {
           this.#wake = resolve;
         });
--- a/bench/support/workload.ts
+++ b/bench/support/workload.ts
@@ -23,8 +23,8 @@
 const SHARED_PROMPT_TOKENS = 512;
 const FILLER = "El texto que sigue es parte del documento original. ";
 /**
- * Exponent of the weights; above 1, large workspaces send more than their
- * share.
+ * Exponent of the workspaces' weights; above 1, workspaces of large weight send
+ * more than their weighted share.
  */
 const WORKSPACE_SKEW = 1.5;
 
--- a/demo/callers.ts
+++ b/demo/callers.ts
@@ -38,7 +38,7 @@
 /** Callers that share one answer to `GET /v1/entries`. */
 export class Callers {
   readonly results: RequestResult[] = [];
-  /** Failed connections to VMs that no longer listen. */
+  /** Refused connections, and failed refreshes of the entry addresses. */
   failedConnects = 0;
   readonly #killedPorts = new Set<number>();
   #ports: number[] = [];
@@ -176,7 +176,11 @@
     }
   }
 
-  /** Fetches the status of a request whose connection broke from another VM. */
+  /**
+   * Fetches the outcome of a request whose connection broke, from another VM.
+   * Without a status, the outcome is `unknown` if the VM that received the
+   * request was killed, and a fault otherwise.
+   */
   async #fetchOutcome(
     request: PlannedRequest,
     broken: { requestId: string | undefined; port: number; message: string },
--- a/demo/outcomes.ts
+++ b/demo/outcomes.ts
@@ -4,19 +4,20 @@
  * @module
  */
 import { match } from "ts-pattern";
-import type { RunOutcome } from "../src/outcome.ts";
+import type { ExecutionOutcome } from "../src/outcome.ts";
 import type { HttpResult } from "./http_call.ts";
 import type { Expectation } from "./workload.ts";
 
 /** Outcome of one request; only `unaccounted` is a fault of the router. */
 export type Outcome =
   | { kind: "answered"; totalMs: number }
-  | { kind: "refused"; outcome: RunOutcome; code: string }
+  | { kind: "refused"; outcome: ExecutionOutcome; code: string }
   | { kind: "cancelled" }
   /**
-   * The connection broke; the outcome is that of the request status, if any.
+   * The connection broke. The outcome is that of the request status, or
+   * `unknown` if there is none and the VM was killed.
    */
-  | { kind: "lost"; outcome: RunOutcome }
+  | { kind: "lost"; outcome: ExecutionOutcome }
   | { kind: "unaccounted"; why: string };
 
 const RUN_OUTCOMES: readonly string[] = ["not_run", "ran", "unknown"];
@@ -54,7 +55,9 @@
 }
 
 /** Whether `text` is one of the run outcomes. */
-export function isRunOutcome(text: string | undefined): text is RunOutcome {
+export function isRunOutcome(
+  text: string | undefined,
+): text is ExecutionOutcome {
   return text !== undefined && RUN_OUTCOMES.includes(text);
 }
 
--- a/demo/user_demo.ts
+++ b/demo/user_demo.ts
@@ -47,8 +47,8 @@
     faults.push(...report.violations);
     print(
       `tokens generated ${report.generatedTokens}, ` +
-        `needed by whole answers ${report.neededTokens}; ` +
-        `connections to a VM that was gone ${callers.failedConnects}; ` +
+        `needed for complete answers ${report.neededTokens}; ` +
+        `failed connections ${callers.failedConnects}; ` +
         `guarantees violated ${report.violations.length}`,
     );
   } catch (thrown) {
--- a/src/outcome.ts
+++ b/src/outcome.ts
@@ -9,7 +9,7 @@
  * was written to an upstream, or the upstream's documented answer states that
  * it did not start the work.
  */
-export type RunOutcome = "not_run" | "ran" | "unknown";
+export type ExecutionOutcome = "not_run" | "ran" | "unknown";
 
 /** Stable machine-readable causes, documented in docs/CALLING.md. */
 export type RefusalCode =
@@ -40,7 +40,7 @@
 export interface Refusal {
   code: RefusalCode;
   message: string;
-  outcome: RunOutcome;
+  outcome: ExecutionOutcome;
   /** Delay before a retry, in milliseconds; absent if a retry is useless. */
   retryAfterMs?: number;
 }
--- a/src/process/burn_recorder.ts
+++ b/src/process/burn_recorder.ts
@@ -25,7 +25,7 @@
 
 /** Maximum number of stored counts, about 20 MB. */
 const MAX_COUNTS = 100_000;
-/** Maximum number of entries, at a few tens of kilobytes each. */
+/** Maximum number of `EntryState` objects, a few tens of kilobytes each. */
 const MAX_ENTRIES = 1_000;
 /** Maximum number of causes per entry. */
 const MAX_CAUSES = 32;
@@ -35,7 +35,7 @@
 const HISTOGRAM_SLOTS = 3;
 const COARSE_SLOTS_PER_HOUR = 12;
 
-/** Counts by entry in time slots. */
+/** Counts by time slot and entry. */
 class TimeSlots {
   readonly #widthMs: number;
   readonly #depth: number;
--- a/src/process/burn_stats.ts
+++ b/src/process/burn_stats.ts
@@ -1,8 +1,8 @@
 /**
- * Statistics for the error budget report, which each VM collects and which are
- * merged. Times are ages in buckets, counted back from the time of sampling, so
- * that the VMs' clocks need not agree. Merging is therefore inexact by up to
- * one bucket.
+ * Statistics for the error budget report: each VM collects its own, and the
+ * report merges them. Times are ages in buckets, counted back from the time of
+ * sampling, so that the VMs' clocks need not agree. Merging is therefore inexact
+ * by up to one bucket.
  *
  * @module
  */
--- a/src/process/configuration_follower.ts
+++ b/src/process/configuration_follower.ts
@@ -112,7 +112,7 @@
     return new ConfigurationFollower(options);
   }
 
-  /** Starts the task: fetches from peers first, then follows both. */
+  /** Fetches from peers first, then follows the source and the peers. */
   start(): void {
     void this.#run();
   }
--- a/src/process/configuration_reader.ts
+++ b/src/process/configuration_reader.ts
@@ -18,13 +18,16 @@
 /** Watchers in each data centre. */
 const WATCHERS_PER_DATA_CENTRE = 2;
 
-/** Mean time between reads of a VM that does not watch, in a small fleet. */
+/**
+ * Mean time between reads of a VM that does not watch, in a fleet of up to
+ * `UNSCALED_FLEET_VMS`.
+ */
 const FALLBACK_INTERVAL_MS = 30_000;
 /** The same while no VM of the fleet seems to reach the source. */
 const STALE_FALLBACK_INTERVAL_MS = 2_000;
 /** Age of the view above which no VM seems to reach the source. */
 const STALE_VIEW_MS = 15_000;
-/** How long a VM watches after it reached the source and no watcher did. */
+/** How long a VM watches that reached the source when no watcher did. */
 const VOLUNTEER_DURATION_MS = 60_000;
 /** A volunteer continues if no other VM reached the source within this time. */
 const OTHER_READER_TIMEOUT_MS = 20_000;
--- a/src/process/daemon.ts
+++ b/src/process/daemon.ts
@@ -42,7 +42,7 @@
   readonly #peers: PeerListener;
   readonly #operators: OperatorListener;
   readonly #onEnd: () => void;
-  #drain: Promise<void> | undefined;
+  #draining: Promise<void> | undefined;
 
   constructor(settings: Settings, onEnd: () => void) {
     this.#settings = settings;
@@ -107,8 +107,8 @@
    * at most `graceMs` of the settings; requests in flight are then cut off.
    */
   drain(): Promise<void> {
-    this.#drain ??= this.#runDrain();
-    return this.#drain;
+    this.#draining ??= this.#runDrain();
+    return this.#draining;
   }
 
   /** Stops at once; requests in flight are cut off. */
--- a/src/process/engine_control/engine_controller.ts
+++ b/src/process/engine_control/engine_controller.ts
@@ -172,7 +172,10 @@
     return reports;
   }
 
-  /** Returns undefined if the upstream does not answer or is leaving. */
+  /**
+   * Returns undefined if the upstream does not answer or is leaving; such an
+   * upstream gets no command.
+   */
   async #fetchReport(upstream: VmId): Promise<LoadReport | undefined> {
     try {
       const { upstreams } = this.#options.environment;
--- a/src/process/execution_claims.ts
+++ b/src/process/execution_claims.ts
@@ -2,15 +2,17 @@
  * Claims that allow at most one execution of each request id, however often the
  * caller submits it.
  *
- * The VM that issued an id decides which VM may execute it, so two entry VMs
- * that cannot reach each other cannot both do so. If that incarnation has ended
- * or cannot be reached, nothing is executed and the outcome is `unknown`.
+ * The VM that issued an id records which VM may execute it, and grants no other
+ * claim unless that one is settled as `not_run`. So two entry VMs that cannot
+ * reach each other cannot both execute a request. If the incarnation that issued
+ * the id has ended or cannot be reached, nothing is executed and the outcome is
+ * `unknown`.
  *
  * @module
  */
 import { toError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
-import type { RunOutcome } from "../outcome.ts";
+import type { ExecutionOutcome } from "../outcome.ts";
 import type { Environment } from "./environment.ts";
 import type { ClaimAnswer, ClaimCall, SettleCall } from "./peer_api.ts";
 import {
@@ -27,7 +29,7 @@
 export const CLAIM_TTL_MS = 5 * 60_000;
 /** Limit on claims that one VM stores. */
 const MAX_CLAIMS = 50_000;
-/** Nonces of claims settled as `not_run`, stored for each id. */
+/** Limit on stored nonces, per id, of claims settled as `not_run`. */
 const MAX_ENDED_NONCES = 8;
 const CLAIM_ATTEMPTS = 3;
 const CLAIM_RETRY_MS = 50;
@@ -40,9 +42,9 @@
 interface Claim {
   sequence: number;
   issuedAt: number;
-  /** The VM that may execute the request; undefined if no claim is valid. */
+  /** The VM that may execute the request; undefined while it is unclaimed. */
   holder: { vm: VmId; nonce: string } | undefined;
-  outcome: RunOutcome | "running" | "answered";
+  outcome: ExecutionOutcome | "running" | "answered";
   endedNonces: string[];
 }
 
@@ -111,7 +113,7 @@
 
   settleExecution(
     requestId: RequestId,
-    outcome: RunOutcome | "answered",
+    outcome: ExecutionOutcome | "answered",
   ): void {
     const nonce = this.#ownNonces.get(requestId);
     const parts = parseRequestId(requestId);
--- a/src/process/fleet_membership.ts
+++ b/src/process/fleet_membership.ts
@@ -186,8 +186,8 @@
   }
 
   /**
-   * Ends the recovery after a pause, once other VMs answered or if there are
-   * none.
+   * Ends the recovery after a pause: other VMs answered, there are none, or all
+   * attempts to reach them failed.
    */
   noteViewRefreshed(): void {
     if (!this.#isViewStale) return;
--- a/src/process/fleet_operator.ts
+++ b/src/process/fleet_operator.ts
@@ -7,7 +7,7 @@
 import { toError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
 import {
-  buildUnreachablePage,
+  buildUndeterminedPage,
   formatStatusPage,
 } from "../request/request_status_page.ts";
 import { parseSeries } from "./burn_stats.ts";
@@ -123,7 +123,7 @@
       // The VM that issued the id is unreachable or has lost the status. An
       // "unknown" status would suggest that the request never arrived, so this
       // case has its own page.
-      return buildUnreachablePage(requestId, thrown);
+      return buildUndeterminedPage(requestId, thrown);
     }
   }
 
--- a/src/process/limits/limit_client.ts
+++ b/src/process/limits/limit_client.ts
@@ -19,7 +19,7 @@
  * Share of a minute's limit that the whole fleet may admit before the owner has
  * agreed. It saves requests of workspaces with little traffic the wait.
  */
-const MAX_OPTIMISTIC_SHARE = 0.05;
+const MAX_ADMIT_AHEAD_SHARE = 0.05;
 
 /** Time for which an owner that did not answer is not called again. */
 const OWNER_RETRY_MS = 500;
@@ -143,8 +143,8 @@
     if (this.#owed.requests > 0 || this.#waiters.length > 0) return false;
     const vms = this.#options.countEntryVms();
     const { requestsPerMinute, tokensPerMinute } = workspace.limits;
-    return vms * amount.requests <= requestsPerMinute * MAX_OPTIMISTIC_SHARE &&
-      vms * amount.tokens <= tokensPerMinute * MAX_OPTIMISTIC_SHARE;
+    return vms * amount.requests <= requestsPerMinute * MAX_ADMIT_AHEAD_SHARE &&
+      vms * amount.tokens <= tokensPerMinute * MAX_ADMIT_AHEAD_SHARE;
   }
 
   #addOwed(amount: LimitAmount): void {
--- a/src/process/limits/workspace_limits.ts
+++ b/src/process/limits/workspace_limits.ts
@@ -16,7 +16,7 @@
 import { LimitClient } from "./limit_client.ts";
 import { LimitOwner, toLimitKey } from "./limit_owner.ts";
 
-/** How often idle state is dropped and a pause is looked for. */
+/** Interval of dropping idle state and of checking for a pause. */
 const TICK_MS = 500;
 
 /** A tick this late means that the process was paused. */
@@ -110,13 +110,13 @@
   #getClient(workspace: WorkspaceName): LimitClient {
     const known = this.#clients.get(workspace);
     if (known !== undefined) return known;
-    const held = LimitClient.create({
+    const client = LimitClient.create({
       clock: this.#options.environment.clock,
       countEntryVms: () => this.#options.membership.listEntryVms().length,
       fetchChunk: (amount) => this.#fetchChunk(workspace, amount),
     });
-    this.#clients.set(workspace, held);
-    return held;
+    this.#clients.set(workspace, client);
+    return client;
   }
 
   async #fetchChunk(
@@ -144,8 +144,8 @@
     const { clock } = this.#options.environment;
     this.#notePause();
     this.#owner.dropIdle();
-    for (const [workspace, held] of this.#clients) {
-      if (held.isIdle()) this.#clients.delete(workspace);
+    for (const [workspace, client] of this.#clients) {
+      if (client.isIdle()) this.#clients.delete(workspace);
     }
     this.#tickedAt = clock.now();
     this.#cancelTick = clock.startTimer(TICK_MS, () => this.#onTick());
--- a/src/process/owned_placement.ts
+++ b/src/process/owned_placement.ts
@@ -88,7 +88,8 @@
     if (placed === undefined || placed === "full") return placed;
     const { replicas } = this.#options;
     const replica = replicas.find(placed.replica);
-    // VMs may receive the addition or removal of a replica at different times.
+    // VMs learn of added and removed replicas at different times, so this one
+    // may not list the owner's choice, or not as ready.
     if (replica === undefined || !replicas.isReady(replica.id)) {
       return undefined;
     }
--- a/src/process/peer_api.ts
+++ b/src/process/peer_api.ts
@@ -17,7 +17,7 @@
   VmId,
   WorkspaceName,
 } from "../ids.ts";
-import type { Refusal, RunOutcome } from "../outcome.ts";
+import type { ExecutionOutcome, Refusal } from "../outcome.ts";
 import type { RequestStatus } from "../request/request_status.ts";
 import type { SuspectEntry } from "./quarantine/index.ts";
 
@@ -27,7 +27,7 @@
   incarnation: Incarnation;
 }
 
-/** Requests a slot from a shard's owner, or renews the place in its queue. */
+/** Requests a slot from a shard's owner, or renews a queued request's ticket. */
 export interface AcquireCall {
   from: PeerIdentity;
   shard: ShardId;
@@ -164,7 +164,7 @@
   configVersion: number;
   /** Distinguishes two contents with the same version number. */
   configDigest?: string;
-  /** VM from which the sender got that version. */
+  /** Source or VM from which the sender got that version. */
   configFrom?: string;
   listRevision: number;
   /** Time since the list was last known to be the newest published. */
@@ -182,7 +182,7 @@
   digest?: string;
   /** Revision of the caller's list; a newer list is part of the answer. */
   listAfter: number;
-  /** Whether steps from `digest` are accepted in place of all records. */
+  /** Whether deltas from `digest` are accepted in place of all records. */
   takesSteps?: boolean;
 }
 
@@ -204,10 +204,10 @@
 /** Raw records as published, so that every VM validates them itself. */
 export interface SnapshotAnswer {
   version: number;
-  /** Undefined if there is nothing newer, or if steps lead to it. */
+  /** Undefined if there is nothing newer, or if `steps` lead to it. */
   records: unknown[] | undefined;
   /**
-   * Steps from the caller's configuration, oldest first, if it accepts them.
+   * Deltas from the caller's configuration, oldest first, if it accepts them.
    */
   steps?: ConfigurationDelta[];
   list: unknown | undefined;
@@ -254,7 +254,7 @@
     kind: "taken";
     /** VM of the first execution. */
     runner: VmId;
-    outcome: RunOutcome | "running" | "answered";
+    outcome: ExecutionOutcome | "running" | "answered";
   }
   | { kind: "unknown_id" };
 
@@ -263,7 +263,7 @@
   from: PeerIdentity;
   requestId: RequestId;
   nonce: string;
-  outcome: RunOutcome | "answered";
+  outcome: ExecutionOutcome | "answered";
 }
 
 /** Requests the status of a request. */
@@ -284,11 +284,11 @@
 export interface RequestStatusAnswer {
   fate: RequestStatus | undefined;
   answer: RetainedAnswer | undefined;
-  /** Set by the VM that issued the id, if no execution of it is claimed now. */
+  /** Set by the VM that issued the id: whether the id is unclaimed now. */
   isFree?: boolean;
 }
 
-/** Transfers a shard's queue to its next owner when the owner drains. */
+/** Transfers a shard's queue and leases to its next owner during a drain. */
 export interface HandOverCall {
   from: PeerIdentity;
   shard: ShardId;
@@ -302,7 +302,7 @@
   entries: SuspectEntry[];
 }
 
-/** Mergeable statistics of one VM, for the report on service-level burn. */
+/** Mergeable statistics of one VM, for the error budget report. */
 export interface StatsAnswer {
   vm: VmId;
   incarnation: Incarnation;
--- a/src/process/placement/fetch_source.ts
+++ b/src/process/placement/fetch_source.ts
@@ -59,10 +59,10 @@
 export function computeFetchedTokens(
   source: FetchSource | undefined,
   replica: VmId,
-  heldTokens: number,
+  ownCachedTokens: number,
 ): number {
   if (source === undefined || source.replica === replica) return 0;
-  const tokens = source.cachedTokens - heldTokens;
+  const tokens = source.cachedTokens - ownCachedTokens;
   return tokens < MIN_FETCHED_TOKENS ? 0 : tokens;
 }
 
--- a/src/process/placement/load_totals.ts
+++ b/src/process/placement/load_totals.ts
@@ -8,13 +8,13 @@
  */
 import type { VmId } from "../../ids.ts";
 
-/** Work at one replica. */
+/** Load of one replica. */
 export interface ReplicaLoad {
   /** Prompt tokens still to be prefilled, except those of deferred prompts. */
   pendingTokens: number;
   /** The same for deferred prompts, which are prefilled after those on time. */
   deferredTokens: number;
-  /** Requests that have not ended. */
+  /** Requests there that have not ended, running or queued. */
   running: number;
   /** Interactive streams among them, with short prompts and long outputs. */
   interactive: number;
--- a/src/process/placement/on_time.ts
+++ b/src/process/placement/on_time.ts
@@ -4,13 +4,14 @@
  *
  * When more long prompts arrive than a pool can prefill, serving them in order
  * builds up a queue a little longer than the target at every replica, and all
- * prompts are late. Refusing some of them does not help: the queue is already
- * there, and refused prompts come back.
+ * prompts are late. The sign is that replicas work without a pause while few
+ * answers begin on time. Refusing some prompts does not help: the queue is
+ * already there, and refused prompts come back.
  *
  * Therefore a prompt takes its turn only at a replica whose queue is short
  * enough. All others are deferred: they are prefilled after every prompt that
  * can still be on time, and so hardly delay those. In return, most callers of
- * deferred prompts give up before they get an answer.
+ * deferred prompts disconnect before they get an answer.
  *
  * @module
  */
@@ -39,8 +40,9 @@
 const LATEST_START_SHARE = 0.6;
 
 /**
- * Whether a prompt may be deferred: its caller must give up before its turn
- * would come too late. Both arguments are in milliseconds.
+ * Whether a prompt may be deferred: its caller has a client timeout and
+ * disconnects before its turn would come too late. Both arguments are in
+ * milliseconds.
  */
 export function canBeDeferred(
   clientTimeoutMs: number | undefined,
--- a/src/process/placement/placed_lease.ts
+++ b/src/process/placement/placed_lease.ts
@@ -65,22 +65,22 @@
     this.reason = formatReason(placement);
     this.fetchFrom = placement.fetchFrom;
     this.#startedAt = placement.replica.startedAt;
-    // Each start of a replica is an incarnation of its own, as far as start
-    // times are known.
+    // Each start of a replica is an incarnation of its own. Without a known
+    // start time, incarnations cannot be told apart and share one id.
     this.upstreamIncarnation = toId<Incarnation>(
       `${this.upstream}@${this.#startedAt ?? ""}`,
     );
     this.#grantedAt = options.clock.now();
-    const ownTokens = placement.ownTokens - placement.fetchedTokens;
+    const prefillTokens = placement.ownTokens - placement.fetchedTokens;
     this.#work = loads.addOwn(this.upstream, {
-      pendingTokens: ownTokens,
+      pendingTokens: prefillTokens,
       isDeferred: placement.isDeferred,
       isInteractive: options.isInteractive,
     });
-    prefixes.noteSent(this.upstream, request.prefixes, ownTokens);
+    prefixes.noteSent(this.upstream, request.prefixes, prefillTokens);
     prefills.addPrefill(
       this.upstream,
-      ownTokens * speeds.getMsPerToken(this.upstream),
+      prefillTokens * speeds.getMsPerToken(this.upstream),
     );
   }
 
@@ -99,7 +99,7 @@
     if (!this.#isSameProcess()) return false;
     const { clock, placement, request, state } = this.#options;
     const waitedMs = clock.now() - this.#grantedAt;
-    // A deferred request waits without output until its caller gives up.
+    // A deferred request waits without output until its caller disconnects.
     const expectedMs = placement.isDeferred
       ? request.clientTimeoutMs ?? 0
       : MAX_WAIT_RATIO * placement.predictedMs;
--- a/src/process/placement/placement_choice.ts
+++ b/src/process/placement/placement_choice.ts
@@ -74,7 +74,7 @@
   fetchedTokens: number;
   /** Endpoint of that replica; undefined where nothing is fetched. */
   fetchFrom?: Endpoint | undefined;
-  /** Requests that the replica runs, as far as is known. */
+  /** Requests there that have not ended, as far as is known. */
   running: number;
   /** Predicted time to first output, in milliseconds. */
   predictedMs: number;
--- a/src/process/placement/placement_state.ts
+++ b/src/process/placement/placement_state.ts
@@ -45,9 +45,9 @@
   onUpdate: () => void;
   onEjected: (replica: VmId, forMs: number) => void;
   onBackOff?: OnBackOff;
-  /** Left out where no replica needs a warm-up. */
+  /** Omitted where no replica needs a warm-up. */
   slowStart?: Omit<SlowStartOptions, "clock">;
-  /** Left out by a VM without a fleet. */
+  /** Omitted by a VM without a fleet. */
   rateLimits?: Omit<ReplicaRateLimitsOptions, "clock">;
 }
 
--- a/src/process/placement/prefix_index.ts
+++ b/src/process/placement/prefix_index.ts
@@ -34,7 +34,7 @@
 interface CachedPart {
   sentAt: number;
   usedAt: number;
-  /** Whether the replica has sent output after it. */
+  /** Whether the replica has sent output to a prompt with this part. */
   isPrefilled: boolean;
 }
 
--- a/src/process/placement/replica_list.ts
+++ b/src/process/placement/replica_list.ts
@@ -41,7 +41,7 @@
   /**
    * Data centres that the operator has evacuated, whose replicas get nothing
    * new; none where it is left out. They are part of the list so that both are
-   * handed on together and never go back to an older state.
+   * passed on together and never return to an older state.
    */
   evacuated?: readonly DataCentre[];
 }
@@ -132,7 +132,10 @@
     return this.#ready.get(pool) ?? [];
   }
 
-  /** Whether `id` is the incarnation that started then, as far as is known. */
+  /**
+   * Whether the listed process of `id` is the one that started at `startedAt`;
+   * true where either start is unknown.
+   */
   isIncarnation(id: VmId, startedAt: number | undefined): boolean {
     const known = this.#byId.get(id)?.startedAt;
     return startedAt === undefined || known === undefined ||
--- a/src/process/placement/replica_speed.ts
+++ b/src/process/placement/replica_speed.ts
@@ -10,7 +10,7 @@
 const DEFAULT_MS_PER_TOKEN = 1 / 35;
 /** Time to first output beside the prefill of prompts. */
 const FIXED_OVERHEAD_MS = 15;
-/** Samples with fewer tokens measure the network more than prefill. */
+/** Samples with fewer tokens to prefill measure mostly the network. */
 const MIN_SAMPLE_TOKENS = 800;
 /** Weight of one sample in the estimate. */
 const SAMPLE_WEIGHT = 0.25;
--- a/src/process/placement/slow_start.ts
+++ b/src/process/placement/slow_start.ts
@@ -4,7 +4,8 @@
  * Replicas that come back under load, after a crash or an evacuation, or that
  * are added to a pool, look idle, so all VMs send their next requests there. A
  * replica that has just started sustains about six requests a second; well
- * above that it may crash, and its work goes to the others.
+ * above that it may crash, and its work goes to the others. The sign is a
+ * replica that gets more requests in the second after its return than it may.
  *
  * Therefore the rate that the whole fleet may send to such a replica is divided
  * in advance. The owner of a pool, which decides for all VMs, spaces its
@@ -169,7 +170,8 @@
       const perS = Math.min(requestsPerS, OWNER_SHARE * maxPerS);
       return MS_PER_SECOND / (perS >= 1 ? Math.floor(perS) : perS);
     }
-    // Half of a fleet may start at once, each VM as if it were the only one.
+    // Half of a fleet may start at once, and until these VMs have discovered
+    // the others, each would send as if it were the only one.
     if (role === "unsettled") return undefined;
     const share = role === "alone" ? ISOLATED_SHARE : NO_OWNER_SHARE;
     const perS = Math.floor(Math.min(requestsPerS, share * maxPerS));
--- a/src/process/prober.ts
+++ b/src/process/prober.ts
@@ -19,7 +19,7 @@
 const INDIRECT_TIMEOUT_MS = 250;
 const INDIRECT_PROBE_COUNT = 2;
 const MIN_SUSPICION_PERIODS = 3;
-/** A dead VM is probed every this many periods. */
+/** Number of periods between two probes of dead VMs. */
 const DEAD_PROBE_PERIODS = 4;
 /** VMs that are informed at once of a new version or of a VM that is gone. */
 const FAN_OUT = 2;
--- a/src/process/quarantine/crash_evidence.ts
+++ b/src/process/quarantine/crash_evidence.ts
@@ -2,6 +2,9 @@
  * Evidence against one request: which replicas crashed while they ran it, and
  * when it was last answered completely.
  *
+ * A request with enough evidence is held (quarantined): for a time, no VM sends
+ * it to a replica.
+ *
  * The evidence is a set of replica incarnations and the time of an answer, so
  * entries can be merged in any order and more than once.
  *
--- a/src/process/quarantine/crash_ledger.ts
+++ b/src/process/quarantine/crash_ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Which requests replicas crashed under, as far as one VM knows.
+ * Evidence against requests under which replicas crashed, as one VM knows it.
  *
  * @module
  */
@@ -59,7 +59,7 @@
   }
 
   /** Milliseconds for which it is still held; 0 if it may be sent. */
-  getHeldMs(fingerprint: RequestFingerprint): number {
+  getQuarantineMs(fingerprint: RequestFingerprint): number {
     const heldUntil = this.#findCurrent(fingerprint)?.getHeldUntil() ??
       -Infinity;
     return Math.max(0, heldUntil - this.#clock.now());
--- a/src/process/quarantine/request_quarantine.ts
+++ b/src/process/quarantine/request_quarantine.ts
@@ -71,7 +71,7 @@
   }
 
   getQuarantineMs(fingerprint: RequestFingerprint): number {
-    return this.#ledger.getHeldMs(fingerprint);
+    return this.#ledger.getQuarantineMs(fingerprint);
   }
 
   isSuspect(fingerprint: RequestFingerprint): boolean {
--- a/src/process/request_metrics.ts
+++ b/src/process/request_metrics.ts
@@ -88,7 +88,7 @@
 
   noteFinished(request: FinishedRequest): void {
     const { className, result } = request;
-    // A request that met its target always ends in the same step: no label.
+    // Empty for requests that met their target: the step would always be equal.
     const step = result === "met" ? "" : request.step;
     this.#requests.inc({ class: className, result, step });
     this.#tokens.inc({ class: className }, request.tokens);
--- a/src/process/request_status_finder.ts
+++ b/src/process/request_status_finder.ts
@@ -78,9 +78,9 @@
   }
 
   #findLocal(call: RequestStatusCall): RequestStatusAnswer {
-    const { requestStatuses: fates, answers } = this.#sources;
+    const { requestStatuses, answers } = this.#sources;
     return {
-      fate: fates.find(call.requestId),
+      fate: requestStatuses.find(call.requestId),
       answer: call.withAnswer ? answers.find(call.requestId) : undefined,
     };
   }
--- a/src/process/routed_caller_limits.ts
+++ b/src/process/routed_caller_limits.ts
@@ -1,5 +1,5 @@
 /**
- * Limits on callers' requests and connections, from the current configuration.
+ * Limits on callers' requests and connections, from the active configuration.
  *
  * @module
  */
--- a/src/process/routed_fleet.ts
+++ b/src/process/routed_fleet.ts
@@ -71,18 +71,20 @@
   readonly follower: StateFollower;
   readonly #options: RoutedFleetOptions;
   readonly #heartbeats: FleetHeartbeats;
-  readonly #peers: HttpUpstreamTransport;
+  readonly #peerTransport: HttpUpstreamTransport;
   readonly #priming: PrefixPriming;
   readonly #ownedPlacement: OwnedPlacement;
-  readonly #suspects: SuspectGossip<FleetPeer>;
+  readonly #suspectGossip: SuspectGossip<FleetPeer>;
   readonly #ended = new AbortController();
 
   constructor(options: RoutedFleetOptions) {
     const { clock, log, link, random, replicas } = options;
     const { address, peerPort, vm } = options.getSettings();
     this.#options = options;
-    this.#peers = options.createTransport((peer) => this.#findPeer(peer));
-    const calls = PeerCalls.create(this.#peers);
+    this.#peerTransport = options.createTransport((peer) =>
+      this.#findPeer(peer)
+    );
+    const calls = PeerCalls.create(this.#peerTransport);
     this.#heartbeats = FleetHeartbeats.create({
       vm,
       clock,
@@ -97,7 +99,7 @@
       onHeartbeat: (peer) => this.#notePeer(peer),
       onSuspects: (entries, from) =>
         options.quarantine.mergeEntries(from, entries),
-      listSuspects: () => this.#suspects.listTopSuspects(),
+      listSuspects: () => this.#suspectGossip.listTopSuspects(),
       onPlacementRequest: (request) =>
         this.#ownedPlacement.answerRequest(request),
       onPlacementAnswer: (answer) => this.#ownedPlacement.noteAnswer(answer),
@@ -110,7 +112,7 @@
       getSelf: () => this.#buildMember(),
       send: (to, message) => this.#heartbeats.send(to, message),
     });
-    this.#suspects = SuspectGossip.create({
+    this.#suspectGossip = SuspectGossip.create({
       clock,
       random,
       listPeers: () => this.listLive(),
@@ -145,7 +147,7 @@
   start(): void {
     this.follower.start();
     this.#heartbeats.start();
-    this.#suspects.start();
+    this.#suspectGossip.start();
     void this.#priming.run(this.#ended.signal);
   }
 
@@ -153,9 +155,9 @@
     this.#ended.abort();
     this.follower.stop();
     this.#heartbeats.stop();
-    this.#suspects.stop();
+    this.#suspectGossip.stop();
     this.#options.link.close();
-    this.#peers.close();
+    this.#peerTransport.close();
   }
 
   /** Other VMs that are live. */
@@ -180,7 +182,7 @@
 
   /** Sends evidence against requests to other VMs. */
   announceSuspects(entries: readonly SuspectEntry[]): void {
-    this.#suspects.announce(entries);
+    this.#suspectGossip.announce(entries);
   }
 
   /**
@@ -244,8 +246,9 @@
   }
 
   /**
-   * Drops what is known of restarted replicas. Their caches are empty, so
-   * prompts would be sent there for prefixes that they no longer have.
+   * Drops what is known of unlisted and restarted replicas. The caches of
+   * restarted ones are empty; without this, prompts would be sent there for
+   * prefixes that they no longer have.
    */
   #noteReplicas(restarted: readonly VmId[]): void {
     const { placement, replicas, onRestarted } = this.#options;
--- a/src/process/routed_status.ts
+++ b/src/process/routed_status.ts
@@ -81,7 +81,7 @@
     read: () => sources.listLive().length,
   });
   metrics.addGauge("configuration_version", {
-    help: "Version of the current configuration; 0 before the first",
+    help: "Version of the active configuration; 0 before the first",
     read: () => getVersion(sources),
   });
   metrics.addGauge("replica_list_age_seconds", {
--- a/src/process/routed_vm.ts
+++ b/src/process/routed_vm.ts
@@ -60,6 +60,7 @@
 const CONNECT_TIMEOUT_MS = 250;
 /** Memory for the status of finished requests. */
 const REQUEST_STATUS_BYTES = 4 * 1024 * 1024;
+
 /** Options of `RoutedVm`. */
 export interface RoutedVmOptions {
   settings: RoutedSettings;
@@ -183,7 +184,7 @@
     this.#log.info("settings_reloaded", { seeds: settings.seeds.join(",") });
   }
 
-  /** The current configuration; undefined before the first one. */
+  /** The active configuration; undefined before the first. */
   getSnapshot(): RoutedSnapshot | undefined {
     return this.#fleet?.follower.getSnapshot();
   }
--- a/src/process/scheduler/lease_manager.ts
+++ b/src/process/scheduler/lease_manager.ts
@@ -77,7 +77,7 @@
     });
     this.#open(entry, now);
     replica.cache.noteRouted(waiter.call.prefixes);
-    replica.rate.take(1);
+    replica.limiter.take(1);
     if (replica.ejected) replica.probing = true;
     return this.buildSlotLease(entry);
   }
@@ -203,7 +203,7 @@
     replica?.noteBackOff(now + backOffMs);
     if (rateLimit === undefined) return;
     const { requestsPerS = Infinity, ageMs } = rateLimit;
-    replica?.rate.noteLimit(requestsPerS, now - ageMs);
+    replica?.limiter.noteLimit(requestsPerS, now - ageMs);
   }
 
   #noteProgress(entry: LeaseEntry, update: LeaseUpdate, now: number): void {
--- a/src/process/scheduler/local_slots.ts
+++ b/src/process/scheduler/local_slots.ts
@@ -35,7 +35,8 @@
   readonly #options: LocalSlotsOptions;
   readonly #shares = new Map<ShardId, LocalShare>();
   readonly #limits: LocalUpstreamLimits;
-  #leaseCount = 0;
+  /** Number of leases granted so far. */
+  #granted = 0;
 
   constructor(options: LocalSlotsOptions) {
     this.#options = options;
@@ -63,30 +64,29 @@
   }
 
   /** Takes a slot of the local share; undefined if none is free. */
-  take(requirements: LocalRequirements): SlotLease | undefined {
+  take(needs: LocalRequirements): SlotLease | undefined {
     const rateShare = 1 / this.#options.membership.listEntryVms().length;
-    const upstreams = this.#listUpstreams(requirements)
+    const upstreams = this.#listUpstreams(needs)
       .map((upstream) => upstream.id)
-      .filter((upstream) => !requirements.avoid.includes(upstream))
+      .filter((upstream) => !needs.avoid.includes(upstream))
       .filter((upstream) => this.#limits.canSend(upstream, rateShare));
-    const upstream = this.#getShare(requirements.shard).take(
-      requirements.rank,
+    const upstream = this.#getShare(needs.shard).take(
+      needs.rank,
       {
-        share: this.#computeShare(requirements),
+        share: this.#computeShare(needs),
         upstreams,
       },
     );
     if (upstream === undefined) return undefined;
     this.#limits.addSent(upstream);
     const { vm, incarnation } = this.#options.environment;
-    const name = `${requirements.shard}:${vm}:${incarnation}:local-${this
-      .#leaseCount++}`;
+    const id = `${needs.shard}:${vm}:${incarnation}:local-${this.#granted++}`;
     return {
-      lease: toId(name),
-      shard: requirements.shard,
+      lease: toId(id),
+      shard: needs.shard,
       upstream,
       ttlMs: INITIAL_LEASE_TTL_MS,
-      priority: requirements.rank,
+      priority: needs.rank,
       byOwner: false,
     };
   }
--- a/src/process/scheduler/local_upstream_limits.ts
+++ b/src/process/scheduler/local_upstream_limits.ts
@@ -10,7 +10,7 @@
 import { RequestRateLimiter } from "../limits/index.ts";
 
 interface UpstreamLimits {
-  rate: RequestRateLimiter;
+  limiter: RequestRateLimiter;
   backOffUntil: number;
 }
 
@@ -33,10 +33,10 @@
     const { requestsPerS, backOffMs } = signals;
     const now = this.#clock.now();
     const limits = this.#limits.get(upstream) ??
-      { rate: RequestRateLimiter.create(now), backOffUntil: now };
-    if (requestsPerS !== undefined) limits.rate.noteLimit(requestsPerS, now);
+      { limiter: RequestRateLimiter.create(now), backOffUntil: now };
+    if (requestsPerS !== undefined) limits.limiter.noteLimit(requestsPerS, now);
     limits.backOffUntil = Math.max(limits.backOffUntil, now + backOffMs);
-    const isOpen = limits.rate.limit === undefined &&
+    const isOpen = limits.limiter.limit === undefined &&
       limits.backOffUntil <= now;
     if (isOpen) this.#limits.delete(upstream);
     else this.#limits.set(upstream, limits);
@@ -50,12 +50,12 @@
     if (limits === undefined) return true;
     const now = this.#clock.now();
     return limits.backOffUntil <= now &&
-      limits.rate.computeWaitMs(now, share) === 0;
+      limits.limiter.computeWaitMs(now, share) === 0;
   }
 
   /** Counts a request sent on a slot of the local share. */
   addSent(upstream: VmId): void {
-    this.#limits.get(upstream)?.rate.take(1);
+    this.#limits.get(upstream)?.limiter.take(1);
   }
 
   /** Removes upstreams that are no longer listed. */
--- a/src/process/scheduler/replica.ts
+++ b/src/process/scheduler/replica.ts
@@ -37,7 +37,7 @@
   readonly cache = CacheIndex.create();
   readonly latency = LatencyTrack.create();
   /** Request rate that the upstream accepts, as announced to any VM. */
-  readonly rate: RequestRateLimiter;
+  readonly limiter: RequestRateLimiter;
   readonly #useReports: boolean;
   /** Whether it gets no new work except probes. */
   ejected = false;
@@ -62,7 +62,7 @@
     this.limit = SlotLimit.create(options.slots, {
       adaptive: options.adaptive,
     });
-    this.rate = RequestRateLimiter.create(options.now);
+    this.limiter = RequestRateLimiter.create(options.now);
     this.#useReports = options.useReports;
     this.#inUseHistory = [{ at: options.now, inUse: 0 }];
   }
@@ -93,7 +93,7 @@
 
   /** Whether its back-off and its rate limit allow one more request now. */
   isAccepting(now: number): boolean {
-    return now >= this.#backOffUntil && this.rate.computeWaitMs(now) === 0;
+    return now >= this.#backOffUntil && this.limiter.computeWaitMs(now) === 0;
   }
 
   setInUse(inUse: number, now: number): void {
--- a/src/process/scheduler/shard_admission.ts
+++ b/src/process/scheduler/shard_admission.ts
@@ -181,8 +181,8 @@
       return undefined;
     }
     const waitMs = this.#options.waits.computeWait(waiter);
-    // The estimate may be wrong. With no wait, the request is started anyway:
-    // only its run can correct the estimate.
+    // The estimate may be wrong, and only executing the request can correct it:
+    // a request that need not wait is not refused.
     if (waitMs === 0) return undefined;
     if (now + waitMs <= waiter.dropAt) return undefined;
     return this.#buildForwardAnswer(waiter) ?? this.buildLateAnswer(waiter);
--- a/src/process/scheduler/shard_owners.ts
+++ b/src/process/scheduler/shard_owners.ts
@@ -223,8 +223,9 @@
   }
 
   /**
-   * Stops an owner and sends its queue and leases to the next one. Nothing is
-   * granted once the leases are copied: such a slot would be granted twice.
+   * Stops an owner and sends its queue and leases to the next one. The owner
+   * must grant nothing after its leases are copied: the next owner would grant
+   * the same slot again.
    */
   async #handOverShard(owner: ShardOwner): Promise<void> {
     const { shard } = owner;
--- a/src/process/scheduler/shard_tickets.ts
+++ b/src/process/scheduler/shard_tickets.ts
@@ -126,7 +126,10 @@
     }
   }
 
-  /** Refuses waiters that no upstream in service has been able to serve. */
+  /**
+   * Refuses waiters that no upstream has been able to serve for
+   * `MAX_UNSERVED_MS`: their model or the last upstream went out of service.
+   */
   refuseUnserved(now: number): void {
     for (const waiter of [...this.#options.queue.list()]) {
       if (this.#admission.canServeNow(waiter, now)) {
--- a/src/process/seeded_fleet/datagram_link.ts
+++ b/src/process/seeded_fleet/datagram_link.ts
@@ -38,13 +38,13 @@
     const socket = createSocket("udp4");
     return new Promise((resolve, reject) => {
       socket.once("error", (cause) => {
-        const place = {
+        const context = {
           step: "udp_bind",
           peer: formatEndpoint({ address, port }),
           cause,
         };
         reject(
-          new StepError(place, "Cannot bind the UDP socket for datagrams"),
+          new StepError(context, "Cannot bind the UDP socket for datagrams"),
         );
       });
       socket.bind({ address, port }, () => {
--- a/src/process/seeded_fleet/fleet_heartbeats.ts
+++ b/src/process/seeded_fleet/fleet_heartbeats.ts
@@ -163,8 +163,8 @@
     this.#hasOwners = owners !== undefined;
     const toAll = this.#listTargets(now);
     const toOwners = owners === undefined ? toAll : this.#findEndpoints(owners);
-    // Former owners expect the next heartbeat within the short interval of
-    // owners.
+    // Former owners were told to expect the next heartbeat after the short
+    // interval of owners, so they still get this one.
     const others = new Set(toAll);
     if (this.#hasOwners) this.#ownerEndpoints.forEach((to) => others.add(to));
     toOwners.forEach((to) => others.delete(to));
@@ -179,8 +179,9 @@
   }
 
   /**
-   * Skipped after a stall: a stalled VM has not read its sockets yet, so it
-   * would consider all other VMs silent and name none of them to callers.
+   * Finds silent peers, except after a stall: a stalled VM has not read its
+   * sockets yet, so it would consider all other VMs silent and name none of them
+   * to callers.
    */
   #checkSilence(lateMs: number): void {
     if (lateMs < STALL_THRESHOLD_MS) {
@@ -276,8 +277,8 @@
   }
 
   /**
-   * Number of peers per heartbeat interval such that each gets one heartbeat in
-   * a round.
+   * Number of peers that get a heartbeat at each `HEARTBEAT_INTERVAL_MS`, so
+   * that every peer gets one in a round.
    */
   #countPerInterval(now: number): number {
     if (now >= this.#roundEndsAt) {
--- a/src/process/seeded_fleet/fleet_message.ts
+++ b/src/process/seeded_fleet/fleet_message.ts
@@ -1,9 +1,9 @@
 /**
  * Datagrams that entry VMs send each other.
  *
- * A datagram may be lost, delayed or duplicated. Each one therefore holds the
- * sender's whole state, and what it holds of single requests only improves
- * decisions.
+ * A datagram may be lost, delayed or duplicated. Each heartbeat therefore holds
+ * the sender's complete state, and entries about single requests only improve
+ * decisions, so that their loss does no harm.
  *
  * @module
  */
@@ -78,7 +78,7 @@
 /**
  * Confirms the sender's last heartbeat. It goes to pool owners, which receive
  * some seven messages a second from each VM. Full heartbeats would be most of
- * the traffic between VMs; this message has a third of the size.
+ * the traffic between VMs; this message is a third of their size.
  */
 const ALIVE = z.object({
   kind: z.literal("alive"),
--- a/src/process/seeded_fleet/message_receiver.ts
+++ b/src/process/seeded_fleet/message_receiver.ts
@@ -24,8 +24,8 @@
 import { buildSuspectMessages } from "./suspect_messages.ts";
 
 /**
- * A VM that already knows this share of another VM's live peers gets no member
- * list.
+ * A new peer gets no member list if it has at least this share of this VM's
+ * number of live peers.
  */
 const FULL_VIEW_SHARE = 0.8;
 /** Options of `MessageReceiver`. */
--- a/src/process/seeded_fleet/pool_owners.ts
+++ b/src/process/seeded_fleet/pool_owners.ts
@@ -15,9 +15,9 @@
 
 /**
  * Fleets up to this size, this VM included, have no owners. Each VM of such a
- * fleet sends and receives up to 330 datagrams of 0.6 KB a second. In a fleet
- * of sixteen VMs with a third of a core each, some read callers' requests two
- * seconds late under a flood of requests.
+ * fleet sends and receives up to 330 datagrams of 0.6 KB a second. That was too
+ * much for sixteen VMs with a third of a core each: under overload, some of them
+ * read callers' requests two seconds late.
  */
 const MAX_SMALL_FLEET_VMS = 12;
 /**
--- a/src/process/seeded_fleet/state_follower.ts
+++ b/src/process/seeded_fleet/state_follower.ts
@@ -40,7 +40,10 @@
  * A view older than one and a half watches counts as cut off from the store.
  */
 const STALE_VIEW_MS = 2_200;
-/** Length of a watch while expired replicas are retained. */
+/**
+ * Length of a watch while expired replicas are retained, so that they are
+ * dropped soon after their time is over.
+ */
 const EXPIRED_WATCH_WAIT_MS = 300;
 const RETRY_MS = 250;
 /**
--- a/src/process/services.ts
+++ b/src/process/services.ts
@@ -16,7 +16,7 @@
   VmId,
   WorkspaceName,
 } from "../ids.ts";
-import type { RunOutcome } from "../outcome.ts";
+import type { ExecutionOutcome } from "../outcome.ts";
 import type { RequestStep } from "../request/request_status.ts";
 import type { UpstreamSignals } from "../request/upstream_signals.ts";
 import type { ClaimAnswer, LeaseUpdate } from "./peer_api.ts";
@@ -138,8 +138,8 @@
   /** Issues an id, naming this VM and incarnation, for a later submission. */
   abstract issueId(): RequestId;
   /**
-   * Issues an id for a request that starts at once. It cannot be submitted, so
-   * no claim is stored for it.
+   * Issues an id for a request that starts at once. It cannot be resubmitted,
+   * so no claim is stored for it.
    */
   abstract issueSingleUseId(): RequestId;
   /**
@@ -156,7 +156,7 @@
   /** Reports the outcome to the issuing VM, with retries in the background. */
   abstract settleExecution(
     requestId: RequestId,
-    outcome: RunOutcome | "answered",
+    outcome: ExecutionOutcome | "answered",
   ): void;
 }
 
@@ -211,7 +211,7 @@
   pool: PoolName | undefined;
   upstream: VmId | undefined;
   result: "met" | "late" | "refused" | "lost" | "cancelled";
-  /** The step that took longest, or at which the request was refused. */
+  /** The phase that took longest, or the one in which it was refused. */
   step: string;
   firstTokenMs: number | undefined;
   betweenTokensMs: number | undefined;
--- a/src/process/settings_schema.ts
+++ b/src/process/settings_schema.ts
@@ -39,11 +39,12 @@
   key_file: NAME.describe("PEM file of the private key"),
 });
 
-// No listener requests client certificates. `ca_file` is for peers only: on
-// another listener it would suggest that clients need a certificate.
+// `ca_file` verifies the other VMs' listeners; no listener requests client
+// certificates. On another listener it would suggest that clients need one, so
+// it is rejected there as an unknown setting.
 const PEER_TLS = TLS.extend({
   ca_file: NAME.optional().describe(
-    "PEM file of the authority of the VMs' certificates; else `cert_file`",
+    "PEM file of the CA of the VMs' certificates; else `cert_file`",
   ),
 });
 
--- a/src/process/shard_summaries.ts
+++ b/src/process/shard_summaries.ts
@@ -36,7 +36,7 @@
     const known = byOwner.get(summary.owner);
     // A restarted owner starts a new sequence. Without the incarnation its
     // summaries would count as outdated until the stored one expires, and
-    // requests would be sent to the shard on the figures of a dead process.
+    // requests would be sent to the shard by the numbers of a dead process.
     const isOutdated = known !== undefined && this.#isLive(known) &&
       summary.incarnation === known.summary.incarnation &&
       summary.sequence <= known.summary.sequence;
--- a/src/request/request_execution.ts
+++ b/src/request/request_execution.ts
@@ -5,7 +5,7 @@
  */
 import { match } from "ts-pattern";
 import type { RequestFingerprint, RequestId, VmId } from "../ids.ts";
-import type { Refusal, RunOutcome } from "../outcome.ts";
+import type { ExecutionOutcome, Refusal } from "../outcome.ts";
 import type { FinishedRequest } from "../process/services.ts";
 import type {
   RequestClass,
@@ -161,7 +161,7 @@
   }
 
   /** The outcome of all attempts so far, as far as it can be proven. */
-  getOutcome(): RunOutcome {
+  getOutcome(): ExecutionOutcome {
     if (this.#hasRun) return "ran";
     return this.#mayHaveRun ? "unknown" : "not_run";
   }
--- a/src/request/request_status.ts
+++ b/src/request/request_status.ts
@@ -4,7 +4,7 @@
  * @module
  */
 import type { ClassName, RequestId, VmId, WorkspaceName } from "../ids.ts";
-import type { RefusalCode, RunOutcome } from "../outcome.ts";
+import type { ExecutionOutcome, RefusalCode } from "../outcome.ts";
 
 /** The steps of a request. */
 export type RequestStepName =
@@ -46,7 +46,7 @@
   /** Wall-clock time of arrival, by that VM's own clock, in ISO 8601. */
   arrivedAt: string;
   configVersion: number;
-  outcome: RunOutcome | "running" | "answered";
+  outcome: ExecutionOutcome | "running" | "answered";
   code: RefusalCode | undefined;
   steps: RequestStep[];
   /** Steps not recorded because the limit was reached. */
--- a/src/request/request_status_page.ts
+++ b/src/request/request_status_page.ts
@@ -27,7 +27,7 @@
   try {
     found = await services.findStatus(requestId, { withAnswer: false });
   } catch (thrown) {
-    return buildUnreachablePage(requestId, thrown);
+    return buildUndeterminedPage(requestId, thrown);
   }
   if (found.fate === undefined) {
     const why = "No VM has a record of the request: it was never " +
@@ -45,7 +45,7 @@
 }
 
 /** Builds the page of a request whose status cannot be determined. */
-export function buildUnreachablePage(
+export function buildUndeterminedPage(
   requestId: RequestId,
   thrown: unknown,
 ): RequestStatusPage {
--- a/src/request/resubmission.ts
+++ b/src/request/resubmission.ts
@@ -6,7 +6,11 @@
 import { match } from "ts-pattern";
 import { toError } from "../errors.ts";
 import type { RequestId, VmId } from "../ids.ts";
-import { type Refusal, RefusalError, type RunOutcome } from "../outcome.ts";
+import {
+  type ExecutionOutcome,
+  type Refusal,
+  RefusalError,
+} from "../outcome.ts";
 import type {
   RequestStatusAnswer,
   RetainedAnswer,
@@ -116,7 +120,7 @@
       message: "The request was answered; its answer is no longer retained",
       outcome: "ran",
     }))
-    .with("ran", "unknown", "not_run", (outcome: RunOutcome) => ({
+    .with("ran", "unknown", "not_run", (outcome: ExecutionOutcome) => ({
       code: "already_submitted",
       message: `The request was submitted before, to VM ${claim.runner}`,
       outcome,
--- a/src/tool/burn/burn_files.ts
+++ b/src/tool/burn/burn_files.ts
@@ -154,13 +154,13 @@
     throw new ToolError(`${name} is not a report saved by burn --json`, {
       exitCode: EXIT_UNREADABLE,
       step: "read_fold",
-      hint: "It may be of another release",
+      hint: "It may have been written by another release",
     });
   }
   if (saved.log_requests > 0) {
     // Requests from logs are only counts in a saved report. Merging it with the
     // same log file again would count them twice without any sign of it.
-    throw new ToolError(`${name} was itself folded with log files`, {
+    throw new ToolError(`${name} was itself merged with log files`, {
       exitCode: EXIT_UNREADABLE,
       step: "read_fold",
       hint: "Use the files that it was made from instead",
--- a/src/tool/burn/burn_fold.ts
+++ b/src/tool/burn/burn_fold.ts
@@ -183,14 +183,14 @@
     atMs: number;
   },
 ): Map<string, PastSpan[]> {
-  const sourcesByIncarnation = new Map<
+  const spansByIncarnation = new Map<
     string,
     { vm: string; spans: PastSpan[] }
   >();
   for (const source of sources) {
     const shiftMs = atMs - source.gatheredAtMs;
     const spans = source.spans.map((span) => applySpanShift(span, shiftMs));
-    sourcesByIncarnation.set(
+    spansByIncarnation.set(
       JSON.stringify(["gathered", formatIncarnationKey(source)]),
       {
         vm: source.vm,
@@ -201,15 +201,15 @@
   for (const request of uncovered) {
     const key = JSON.stringify(["logged", formatIncarnationKey(request)]);
     const agoMs = atMs - request.atMs;
-    const known = sourcesByIncarnation.get(key)?.spans[0];
+    const known = spansByIncarnation.get(key)?.spans[0];
     const span = {
       fromAgoMs: Math.max(known?.fromAgoMs ?? agoMs, agoMs),
       toAgoMs: Math.min(known?.toAgoMs ?? agoMs, agoMs),
     };
-    sourcesByIncarnation.set(key, { vm: request.vm, spans: [span] });
+    spansByIncarnation.set(key, { vm: request.vm, spans: [span] });
   }
   const byVm = new Map<string, PastSpan[]>();
-  for (const { vm, spans } of sourcesByIncarnation.values()) {
+  for (const { vm, spans } of spansByIncarnation.values()) {
     byVm.set(vm, mergeSpans([...byVm.get(vm) ?? [], ...spans]));
   }
   return byVm;
--- a/src/tool/burn/burn_html.ts
+++ b/src/tool/burn/burn_html.ts
@@ -20,7 +20,10 @@
 import { toHtmlText } from "./clean_text.ts";
 
 const HOUR_MS = 3_600_000;
-/** Limits the page size: the plots of one row take about 20 kB. */
+/**
+ * Limits the page size: the plots of one row take about 20 kB. The table lists
+ * every row regardless of this limit.
+ */
 const MAX_PLOTTED_ROWS = 24;
 const MAX_SHOWN_CAUSES = 40;
 const UNKNOWN = "–";
--- a/src/tool/burn/burn_notes.ts
+++ b/src/tool/burn/burn_notes.ts
@@ -113,7 +113,7 @@
     ? ` and ${young.length - MAX_SHOWN_NAMES} more`
     : "";
   return [{
-    text: `Held for less than the longest: ${shown.join(", ")}${more}`,
+    text: `VMs with a shorter history: ${shown.join(", ")}${more}`,
     isCritical: false,
   }];
 }
--- a/src/tool/burn/burn_rows.ts
+++ b/src/tool/burn/burn_rows.ts
@@ -60,7 +60,9 @@
   windows: WindowBurn[];
   rules: RuleResult[];
   budget: BurnBudget | undefined;
+  /** Undefined if no durations were recorded. */
   firstToken: Percentiles | undefined;
+  /** Undefined if no durations were recorded. */
   total: Percentiles | undefined;
   tokens: number;
   wastedTokens: number;
--- a/src/tool/check_command.ts
+++ b/src/tool/check_command.ts
@@ -51,7 +51,7 @@
     throw new ToolError("Nothing to check", {
       exitCode: EXIT_USAGE,
       step: "read_arguments",
-      hint: "Give --settings FILE, --records DIRECTORY or both",
+      hint: "Use --settings FILE, --records DIRECTORY or both",
     });
   }
   const isOk = findings.every((finding) => finding.ok);
--- a/src/tool/command_line.ts
+++ b/src/tool/command_line.ts
@@ -232,7 +232,7 @@
     })
     .option("ca", {
       type: "string",
-      describe: "PEM file of the authority to trust, for https",
+      describe: "PEM file of the CA certificate to trust, for https",
     });
 }
 
@@ -244,7 +244,7 @@
     })
     .option("ca", {
       type: "string",
-      describe: "PEM file of the authority to trust, for https",
+      describe: "PEM file of the CA certificate to trust, for https",
     });
 }
 
--- a/src/tool/fleet_commands.ts
+++ b/src/tool/fleet_commands.ts
@@ -80,14 +80,14 @@
       ? ""
       : `, ${answer.in_flight} requests in flight`;
     return {
-      text: `The VM drains${left}\n`,
+      text: `The VM is draining${left}\n`,
       json: answer,
       exitCode: EXIT_OK,
     };
   }
   await waitForExit(context, client);
   return {
-    text: "The VM has drained and ended\n",
+    text: "The VM has drained and exited\n",
     json: { ...answer, ended: true },
     exitCode: EXIT_OK,
   };
@@ -188,10 +188,10 @@
 function renderUnaccepted(history: readonly VersionDecision[]): string {
   const unaccepted = history.filter(({ result }) => result !== "accepted");
   if (unaccepted.length === 0) return "";
-  const lines = unaccepted.flatMap((fault) => [
-    `Version ${fault.version} from ${fault.from} was ${fault.result} ` +
-    `${formatDuration(fault.age_ms)} ago (content ${fault.digest})`,
-    ...fault.problems.map((problem) => `  ${problem}`),
+  const lines = unaccepted.flatMap((decision) => [
+    `Version ${decision.version} from ${decision.from} was ${decision.result} ` +
+    `${formatDuration(decision.age_ms)} ago (content ${decision.digest})`,
+    ...decision.problems.map((problem) => `  ${problem}`),
   ]);
   return `\n${lines.join("\n")}\n`;
 }
--- a/src/tool/load_command.ts
+++ b/src/tool/load_command.ts
@@ -111,7 +111,7 @@
       this.#agent.destroy();
     }
     const seconds = toSeconds(clock.now() - startedAt);
-    return this.#classStats.map((figures) => figures.toJson(seconds));
+    return this.#classStats.map((stats) => stats.toJson(seconds));
   }
 
   async #sendAll(startedAt: number): Promise<void> {
@@ -136,21 +136,21 @@
   }
 
   #sendOne(): void {
-    const figures = this.#classStats[this.#sent % this.#classStats.length]!;
+    const stats = this.#classStats[this.#sent % this.#classStats.length]!;
     const entry = this.#entries[this.#sent % this.#entries.length]!;
     this.#sent++;
     if (this.#inFlight.size >= this.#options.concurrency) {
-      figures.record({ kind: "not_sent", tokens: 0 });
+      stats.record({ kind: "not_sent", tokens: 0 });
       return;
     }
-    const task = this.#runOne(figures, entry);
+    const task = this.#runOne(stats, entry);
     this.#inFlight.add(task);
     void task.finally(() => this.#inFlight.delete(task));
   }
 
-  async #runOne(figures: ClassStats, entry: URL): Promise<void> {
+  async #runOne(stats: ClassStats, entry: URL): Promise<void> {
     const { key, model, maxTokens, idleTimeoutMs, ca } = this.#options;
-    figures.record(
+    stats.record(
       await runLoadRequest(this.#context.clock, {
         url: entry,
         key,
@@ -158,7 +158,7 @@
         maxTokens,
         idleTimeoutMs,
         ca,
-        className: figures.className,
+        className: stats.className,
         prompt: this.#buildPrompt(),
         agent: this.#agent,
       }),
--- a/src/version/convert.ts
+++ b/src/version/convert.ts
@@ -29,7 +29,8 @@
  * Default fencing mode of a pool in schema 1, which has no such field.
  * "ignored" is the safe default: if engines were wrongly assumed to check
  * fencing numbers, they would obey a previous owner that resumes late. If they
- * are wrongly assumed to ignore them, commands are only delayed by one lease.
+ * are wrongly assumed to ignore them, commands are only delayed by the duration
+ * of one lease.
  */
 const V1_FENCING = "ignored";
 
--- a/src/version/interactive_classes.ts
+++ b/src/version/interactive_classes.ts
@@ -13,7 +13,7 @@
  * pool has interactive streams only if its longest target is at least this many
  * times its shortest.
  */
-const MIN_PAUSE_RATIO = 1.25;
+const MIN_TARGET_RATIO = 1.25;
 
 /**
  * Returns the classes of interactive streams; none for pools whose streams all
@@ -24,30 +24,30 @@
   classes: ReadonlyMap<ClassName, RequestClass>,
 ): Set<ClassName> {
   const interactive = new Set<ClassName>();
-  for (const pauses of listPausesByPool(routes, classes).values()) {
-    const shortest = Math.min(...pauses.values());
-    const longest = Math.max(...pauses.values());
-    if (longest < MIN_PAUSE_RATIO * shortest) continue;
-    for (const [name, pauseMs] of pauses) {
-      if (pauseMs < MIN_PAUSE_RATIO * shortest) interactive.add(name);
+  for (const targetsMs of listTargetsByPool(routes, classes).values()) {
+    const shortest = Math.min(...targetsMs.values());
+    const longest = Math.max(...targetsMs.values());
+    if (longest < MIN_TARGET_RATIO * shortest) continue;
+    for (const [name, targetMs] of targetsMs) {
+      if (targetMs < MIN_TARGET_RATIO * shortest) interactive.add(name);
     }
   }
   return interactive;
 }
 
-function listPausesByPool(
+function listTargetsByPool(
   routes: readonly Route[],
   classes: ReadonlyMap<ClassName, RequestClass>,
 ): Map<PoolName, Map<ClassName, number>> {
   const byPool = new Map<PoolName, Map<ClassName, number>>();
   for (const { kind, className, targets } of routes) {
     const isStream = kind === "single_stream" || kind === "resumable_stream";
-    const pauseMs = classes.get(className)?.targets.betweenTokensMs;
-    if (!isStream || pauseMs === undefined) continue;
+    const targetMs = classes.get(className)?.targets.betweenTokensMs;
+    if (!isStream || targetMs === undefined) continue;
     for (const { pool } of targets) {
-      const pauses = byPool.get(pool) ?? new Map<ClassName, number>();
-      byPool.set(pool, pauses);
-      pauses.set(className, pauseMs);
+      const targetsMs = byPool.get(pool) ?? new Map<ClassName, number>();
+      byPool.set(pool, targetsMs);
+      targetsMs.set(className, targetMs);
     }
   }
   return byPool;
--- a/src/version/records.ts
+++ b/src/version/records.ts
@@ -34,8 +34,8 @@
     totalMs: number;
   };
   /**
-   * Client timeout: silence on a stream after which callers disconnect;
-   * undefined if unknown.
+   * Client timeout in milliseconds: silence on a stream after which callers
+   * disconnect; undefined if unknown.
    */
   patienceMs?: number | undefined;
   /** Whether an answer that misses its target is still useful. */
--- a/test/process/configuration_deltas_test.ts
+++ b/test/process/configuration_deltas_test.ts
@@ -124,9 +124,9 @@
     fleet.service.putVersion(3, buildVersion(3));
     const took = await fleet.runUntil(() => isEverywhere(fleet, 3), 10_000);
     expect(took).toBeLessThan(1_000);
-    const whole = JSON.stringify(buildVersion(3)).length;
+    const fullSize = JSON.stringify(buildVersion(3)).length;
     const each = (countBytes() - before) / fleet.list().length;
-    expect(each).toBeLessThan(whole / 20);
+    expect(each).toBeLessThan(fullSize / 20);
   });
 
   it("update a VM that missed many versions to the same records", async () => {
@@ -154,8 +154,9 @@
 
 describe("RecordCache", () => {
   // VMs of two releases may compute the digest from cached texts or from the
-  // whole list. If the two differed, every version would look like a conflict.
-  it("returns the digest of the whole text", () => {
+  // complete list. If the two differed, every version would look like a
+  // conflict.
+  it("returns the same digest as the complete list", () => {
     const cache = RecordCache.create();
     fc.assert(fc.property(fc.array(fc.jsonValue()), (values) => {
       const records = JSON.parse(JSON.stringify(values)) as unknown[];
--- a/test/process/execution_claims_test.ts
+++ b/test/process/execution_claims_test.ts
@@ -127,9 +127,9 @@
       .toBe("granted");
   });
 
-  // Guards against a duplicate execution under a flood of requests: so many ids
-  // are claimed that the oldest are evicted, and an evicted id is submitted
-  // again. "Not stored" must not count as "never claimed".
+  // Guards against a duplicate execution under overload: so many ids are
+  // claimed that the oldest are evicted, and an evicted id is submitted again.
+  // "Not stored" must not count as "never claimed".
   it("is never granted for an evicted id", () => {
     const { claims } = createIssuer(4);
     const ids = Array.from({ length: 12 }, () => claims.issueId());
--- a/test/process/placement/on_time_test.ts
+++ b/test/process/placement/on_time_test.ts
@@ -15,7 +15,7 @@
 
 const POOL_SIZE = 4;
 const TARGET_MS = 600;
-/** Callers give up after this time without output. */
+/** Callers disconnect after this time without output. */
 const CLIENT_TIMEOUT_MS = 2_000;
 const PROMPT_TOKENS = 6_000;
 /** Prefill speed of an engine. */
--- a/test/process/placement/replica_liveness_test.ts
+++ b/test/process/placement/replica_liveness_test.ts
@@ -12,7 +12,7 @@
 import { VirtualClock } from "../../../standin/virtual_clock.ts";
 
 const PROGRESS = { tokens: 1, firstTokenMs: 1, betweenTokensMs: undefined };
-/** Longer than one byte counts as a sign of life. */
+/** Longer than the time for which one byte counts as a sign of life. */
 const SILENT_MS = 1_500;
 
 function createPool() {
--- a/test/process/quarantine/crash_ledger_test.ts
+++ b/test/process/quarantine/crash_ledger_test.ts
@@ -33,18 +33,18 @@
   it("is held once three replicas have crashed", () => {
     const { ledger } = createLedger();
     addCrashes(ledger, HOLD_AFTER_CRASHES - 1);
-    expect(ledger.getHeldMs(REQUEST)).toBe(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(0);
     addCrashes(ledger, 1, HOLD_AFTER_CRASHES);
-    expect(ledger.getHeldMs(REQUEST)).toBe(FIRST_HOLD_MS);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(FIRST_HOLD_MS);
   });
 
   it("is held for a short time after two crashes before its output", () => {
     const { ledger } = createLedger();
     addCrashes(ledger, 1);
     ledger.addCrash(REQUEST, toId("i-1"), false);
-    expect(ledger.getHeldMs(REQUEST)).toBe(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(0);
     ledger.addCrash(REQUEST, toId("i-0"), false);
-    expect(ledger.getHeldMs(REQUEST)).toBe(EARLY_HOLD_MS);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(EARLY_HOLD_MS);
   });
 
   // Guards against counting one crash several times.
@@ -52,16 +52,16 @@
     const { ledger } = createLedger();
     for (let time = 0; time < 10; time++) addCrashes(ledger, 1);
     expect(ledger.countCrashes(REQUEST)).toBe(1);
-    expect(ledger.getHeldMs(REQUEST)).toBe(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(0);
   });
 
   it("is held twice as long after one more crash", async () => {
     const { clock, ledger } = createLedger();
     addCrashes(ledger, HOLD_AFTER_CRASHES);
     await clock.run(FIRST_HOLD_MS);
-    expect(ledger.getHeldMs(REQUEST)).toBe(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(0);
     addCrashes(ledger, 1, HOLD_AFTER_CRASHES);
-    expect(ledger.getHeldMs(REQUEST)).toBe(2 * FIRST_HOLD_MS);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(2 * FIRST_HOLD_MS);
   });
 
   it("is released once it was answered completely", async () => {
@@ -69,7 +69,7 @@
     addCrashes(ledger, HOLD_AFTER_CRASHES);
     await clock.run(1);
     ledger.noteAnswered(REQUEST);
-    expect(ledger.getHeldMs(REQUEST)).toBe(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBe(0);
     expect(ledger.listSuspects()).toEqual([]);
   });
 
@@ -110,7 +110,7 @@
     for (let index = 0; index < 5_000; index++) {
       ledger.addCrash(toId(`beside-${index}`), toId("i-0"), false);
     }
-    expect(ledger.getHeldMs(REQUEST)).toBeGreaterThan(0);
+    expect(ledger.getQuarantineMs(REQUEST)).toBeGreaterThan(0);
     expect(ledger.listSuspects().length).toBeLessThanOrEqual(2_000);
     expect(ledger.listSuspects()[0]).toBe(REQUEST);
   });
@@ -136,7 +136,9 @@
           .forEach((each) => other.mergeEntry(each));
         for (const request of [toId<RequestFingerprint>("a"), REQUEST]) {
           expect(other.countCrashes(request)).toBe(one.countCrashes(request));
-          expect(other.getHeldMs(request)).toBe(one.getHeldMs(request));
+          expect(other.getQuarantineMs(request)).toBe(
+            one.getQuarantineMs(request),
+          );
         }
       }),
     );
--- a/test/process/request_metrics_test.ts
+++ b/test/process/request_metrics_test.ts
@@ -175,7 +175,7 @@
   test("merges two VMs to the statistics of one that served all requests", async () => {
     const clock = VirtualClock.create();
     const parts = [BurnRecorder.create(clock), BurnRecorder.create(clock)];
-    const whole = BurnRecorder.create(clock);
+    const combined = BurnRecorder.create(clock);
     for (let index = 0; index < 200; index++) {
       await clock.run(7_000);
       const request = buildFinished({
@@ -185,10 +185,10 @@
         firstTokenMs: index * 3,
       });
       parts[index % 2]!.record(request);
-      whole.record(request);
+      combined.record(request);
     }
     const merged = mergeSeries(parts.map((part) => part.collect()));
-    const single = mergeSeries([whole.collect()]);
+    const single = mergeSeries([combined.collect()]);
     const sums = (series: BurnSeries) =>
       series.entries.map((entry) => ({
         fine: entry.fine,
@@ -283,7 +283,7 @@
   });
 });
 
-test("a histogram stores durations with an error of one per cent", () => {
+test("a histogram stores durations with an error of at most one per cent", () => {
   fc.assert(
     fc.property(fc.double({ min: 0.1, max: 1e7, noNaN: true }), (ms) => {
       const histogram = LatencyHistogram.create();
--- a/test/process/request_stores_test.ts
+++ b/test/process/request_stores_test.ts
@@ -79,8 +79,8 @@
 });
 
 describe("the retry budget", () => {
-  // Guards against retries that outlast an outage: every attempt fails for a long
-  // time, and retries grow with failures instead of with first attempts.
+  // Guards against retries that outlast an outage: every attempt fails for a
+  // long time, and retries grow with failures instead of with first attempts.
   it("keeps retries under the share in any window", async () => {
     const clock = VirtualClock.create();
     const budget = WindowRetryBudget.create({ clock, getShare: () => 0.1 });
--- a/test/tool/burn/burn_command_test.ts
+++ b/test/tool/burn/burn_command_test.ts
@@ -260,7 +260,7 @@
     const file = join(folder, "folded.json");
     await writeFile(file, run.output);
     const again = await runCommand(["burn", "--fold", file, log]);
-    expect(again.error).toContain("was itself folded with log files");
+    expect(again.error).toContain("was itself merged with log files");
     expect(again.exitCode).toBe(3);
   });
 
--- a/test/tool/burn/burn_report_test.ts
+++ b/test/tool/burn/burn_report_test.ts
@@ -246,7 +246,7 @@
     expect(texts[0]).toContain("Not reached: entry-3 (No answer).");
     expect(texts).toContainEqual(
       expect.stringContaining(
-        "Held for less than the longest: entry-2 10.0min",
+        "VMs with a shorter history: entry-2 10.0min",
       ),
     );
     expect(texts).toContainEqual(
--- a/test/tool/fleet_commands_test.ts
+++ b/test/tool/fleet_commands_test.ts
@@ -180,7 +180,7 @@
   test("starts the drain and prints the requests in flight", async () => {
     const vm = await startFixed({ "/v1/drain": { in_flight: 2 } });
     const run = await runCommand(["drain", ...getOptions(vm)]);
-    expect(run.output).toBe("The VM drains, 2 requests in flight\n");
+    expect(run.output).toBe("The VM is draining, 2 requests in flight\n");
     expect(vm.calls).toEqual(["POST /v1/drain Bearer the-token"]);
   });
 
@@ -192,7 +192,7 @@
       if (!isOrder) response.on("finish", () => void vm.stop());
     });
     const run = await runCommand(["drain", "--wait", ...getOptions(vm)]);
-    expect(run.output).toBe("The VM has drained and ended\n");
+    expect(run.output).toBe("The VM has drained and exited\n");
     expect(run.exitCode).toBe(0);
   });
 
--- a/test/tool/offline_test.ts
+++ b/test/tool/offline_test.ts
@@ -76,7 +76,7 @@
 
   test("exits with 2 if no file is given", async () => {
     const run = await runCommand(["check"]);
-    expect(run.error).toContain("Give --settings FILE");
+    expect(run.error).toContain("Use --settings FILE");
     expect(run.exitCode).toBe(2);
   });
 });
