--- a/bench/slopes/role_costs.ts
+++ b/bench/slopes/role_costs.ts
@@ -10,7 +10,10 @@
 const US_PER_MS = 1_000;
 const KIB_PER_MIB = 1_024;
 const POLLS_PER_SECOND = 1;
-/** Maximum rate at which a pool's engine controller polls load reports. */
+/**
+ * Rate assumed for load reports that a pool's engine controller polls; an upper
+ * bound, since `EngineController` itself fetches at most five a second.
+ */
 const COMMAND_POLLS_PER_SECOND = 20;
 const COMMAND_ROUNDS_PER_SECOND = 0.5;
 const SUMMARIES_PER_SECOND = 2;
@@ -85,7 +88,7 @@
   };
   return {
     role: "Requests and tokens",
-    mechanism: "a task for each request",
+    mechanism: "one task per request",
     mean,
     busiest: mean,
   };
@@ -186,7 +189,7 @@
   };
   return {
     role: "Slots: renew and return",
-    mechanism: "batches for each shard that a VM holds leases of",
+    mechanism: "batches per shard of which a VM holds leases",
     mean: build(sent, share.replicas),
     busiest: build(answered, share.mostReplicas),
   };
@@ -207,7 +210,7 @@
   });
   return {
     role: "Load reports and cache events",
-    mechanism: "a shard's owner alone polls its replicas, once a second",
+    mechanism: "only a shard's owner polls its replicas, once per second",
     mean: build(share.replicas),
     busiest: build(share.mostReplicas),
   };
@@ -224,8 +227,9 @@
     memoryMib: 0,
   });
   return {
-    role: "Orders to engines",
-    mechanism: "one giver a pool, by the list; 20 reports a second at most",
+    role: "Commands to engines",
+    mechanism: "one controller per pool, chosen by the list; " +
+      "at most 20 reports per second",
     mean: build(TARGET.models * COMMAND_POLLS_PER_SECOND / TARGET.vms),
     busiest: build(COMMAND_POLLS_PER_SECOND),
   };
@@ -251,7 +255,7 @@
   };
   return {
     role: "Membership, summaries",
-    mechanism: "SWIM: one probe in 500 ms, news and summaries on it",
+    mechanism: "SWIM: one probe every 500 ms, gossip and summaries on it",
     mean,
     busiest: mean,
   };
@@ -287,7 +291,7 @@
   };
   return {
     role: "Configuration",
-    mechanism: "2 watchers a data centre; steps from VM to VM",
+    mechanism: "2 watchers per data centre; deltas between VMs",
     mean,
     busiest: mean,
   };
@@ -306,7 +310,7 @@
   };
   return {
     role: "Membership list",
-    mechanism: "the watchers read it; whole lists from VM to VM",
+    mechanism: "the watchers read it; full lists between VMs",
     mean,
     busiest: mean,
   };
@@ -325,7 +329,7 @@
   const mean: Cost = { ...cost, memoryMib };
   return {
     role: "Workspaces' limits",
-    mechanism: "an owner for each workspace leases chunks",
+    mechanism: "each workspace's owner leases chunks of its limits",
     mean,
     busiest: mean,
   };
@@ -343,8 +347,8 @@
   const heap = slopes.getAt("run claims: heap", MAX_CLAIMS);
   const mean: Cost = { ...cost, memoryMib: heap / KIB_PER_MIB };
   return {
-    role: "Run claims",
-    mechanism: "the VM that issued an id, 50,000 claims at most",
+    role: "Execution claims",
+    mechanism: "at the VM that issued the id; at most 50,000 claims",
     mean,
     busiest: mean,
   };
@@ -361,7 +365,7 @@
   };
   return {
     role: "Finding shards and owners",
-    mechanism: "each VM works them out from the list, with no word",
+    mechanism: "each VM computes them from the list, without messages",
     mean,
     busiest: mean,
   };
@@ -378,7 +382,7 @@
   };
   return {
     role: "Figures and burn series",
-    mechanism: "each VM its own, 1,000 classes of workspaces at most",
+    mechanism: "each VM keeps its own; at most 1,000 classes of workspaces",
     mean,
     busiest: mean,
   };
@@ -393,7 +397,7 @@
     memoryMib: statusRecords / KIB_PER_MIB + MAX_ANSWERS_MIB,
   };
   return {
-    role: "Fates and kept answers",
+    role: "Request status and retained answers",
     mechanism: "20,000 records and 32 MiB of answers at each VM",
     mean,
     busiest: mean,
