--- a/src/process/engine_control/engine_controller.ts
+++ b/src/process/engine_control/engine_controller.ts
@@ -23,8 +23,8 @@
 export const COMMAND_TRANSIT_MS = 5_000;
 const MIN_ROUND_INTERVAL_MS = 2_000;
 /**
- * Time added to the interval between rounds for each upstream, so that a
- * controller fetches at most five reports a second whatever the pool size.
+ * Interval between rounds for each upstream, so that a controller fetches at
+ * most five reports a second whatever the pool size.
  */
 const ROUND_INTERVAL_PER_UPSTREAM_MS = 200;
 const MAX_CONCURRENT_REPORTS = 8;
