--- a/src/process/scheduler/held_slot.ts
+++ b/src/process/scheduler/held_slot.ts
@@ -16,6 +16,7 @@
 import type { LeaseUpdate, RateLimitUpdate, SlotLease } from "../peer_api.ts";
 import { HeldLease, type LeaseProgress } from "../services.ts";
 
+/** Options of a `HeldSlot`. */
 export interface HeldSlotOptions {
   clock: Clock;
   slot: SlotLease;
--- a/src/process/scheduler/lease_client.ts
+++ b/src/process/scheduler/lease_client.ts
@@ -47,6 +47,7 @@
 const RETRY_INTERVAL_MS = 100;
 const MAX_FORWARDS = 3;
 
+/** Options of a `LeaseClient`. */
 export interface LeaseClientOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/lease_manager.ts
+++ b/src/process/scheduler/lease_manager.ts
@@ -31,6 +31,7 @@
  */
 export const INITIAL_LEASE_TTL_MS = 3_000;
 
+/** Options of a `LeaseManager`. */
 export interface LeaseManagerOptions {
   shard: ShardId;
   random: Random;
--- a/src/process/scheduler/lease_sync.ts
+++ b/src/process/scheduler/lease_sync.ts
@@ -28,6 +28,7 @@
 const MAX_QUEUED_RETURNS = 10_000;
 const MAX_UPDATES_PER_CALL = 500;
 
+/** Options of a `LeaseSync`. */
 export interface LeaseSyncOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/lease_syncs.ts
+++ b/src/process/scheduler/lease_syncs.ts
@@ -14,6 +14,7 @@
 /** Time after which the sync of an unused shard is removed. */
 const IDLE_SHARD_TTL_MS = 60_000;
 
+/** Options of `LeaseSyncs`. */
 export interface LeaseSyncsOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/local_share.ts
+++ b/src/process/scheduler/local_share.ts
@@ -15,6 +15,7 @@
 import type { UpstreamPool } from "../../version/records.ts";
 import { computeRendezvousOrder } from "../rendezvous.ts";
 
+/** Input of `computeLocalShare`. */
 export interface LocalShareInput {
   vm: VmId;
   shard: ShardId;
--- a/src/process/scheduler/local_slots.ts
+++ b/src/process/scheduler/local_slots.ts
@@ -15,6 +15,7 @@
 import { computeLocalShare, LocalShare } from "./local_share.ts";
 import { listShardUpstreams } from "./shards.ts";
 
+/** Options of `LocalSlots`. */
 export interface LocalSlotsOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/owner_client.ts
+++ b/src/process/scheduler/owner_client.ts
@@ -18,6 +18,7 @@
 /** Maximum number of `not_owner` redirects followed in one call. */
 const MAX_REDIRECTS = 1;
 
+/** Options of an `OwnerClient`. */
 export interface OwnerClientOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/shard_admission.ts
+++ b/src/process/scheduler/shard_admission.ts
@@ -27,6 +27,7 @@
 const FORWARDED_TTL_MS = 10_000;
 const NO_UPSTREAM_RETRY_MS = 5_000;
 
+/** Options of a `ShardAdmission`. */
 export interface ShardAdmissionOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
--- a/src/process/scheduler/shard_choice.ts
+++ b/src/process/scheduler/shard_choice.ts
@@ -17,6 +17,7 @@
  */
 const SWITCH_WAIT_RATIO = 0.5;
 
+/** Input of `chooseShard`. */
 export interface ShardChoiceInput {
   pool: UpstreamPool;
   /** The pool's upstreams that accept work. */
--- a/src/process/scheduler/shard_components.ts
+++ b/src/process/scheduler/shard_components.ts
@@ -18,6 +18,7 @@
 import { WaiterFactory } from "./waiter_factory.ts";
 import { WaitingQueue } from "./waiting_queue.ts";
 
+/** Options of `createShardComponents`. */
 export interface ShardComponentsOptions {
   environment: Environment;
   shard: ShardId;
@@ -29,6 +30,7 @@
   queueBound?: number | undefined;
 }
 
+/** Components of one shard owner. */
 export interface ShardComponents {
   replicas: ReplicaSet;
   queue: WaitingQueue<Waiter>;
--- a/src/process/scheduler/shard_owner.ts
+++ b/src/process/scheduler/shard_owner.ts
@@ -36,6 +36,7 @@
 const TICK_INTERVAL_MS = 100;
 const TICKS_PER_UPKEEP = 10;
 
+/** Options of a `ShardOwner`. */
 export interface ShardOwnerOptions extends ShardComponentsOptions {
   /** The pool's record at creation; used if the snapshot lacks the pool. */
   pool: UpstreamPool;
--- a/src/process/scheduler/shard_owners.ts
+++ b/src/process/scheduler/shard_owners.ts
@@ -40,6 +40,7 @@
  */
 const RESTART_GRACE_MS = 10_000;
 
+/** Options of `ShardOwners`. */
 export interface ShardOwnersOptions {
   environment: Environment;
   membership: MembershipView;
--- a/src/process/scheduler/shard_tickets.ts
+++ b/src/process/scheduler/shard_tickets.ts
@@ -28,6 +28,7 @@
  */
 const MAX_UNSERVED_MS = 3_000;
 
+/** Options of `ShardTickets`. */
 export interface ShardTicketsOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
--- a/src/process/scheduler/slot_wait.ts
+++ b/src/process/scheduler/slot_wait.ts
@@ -14,6 +14,7 @@
 const NO_UPSTREAM_RETRY_MS = 5_000;
 const UNREACHABLE_RETRY_MS = 1_000;
 
+/** Options of an acquisition. */
 export interface AcquireOptions {
   signal: AbortSignal;
   onStep: (step: RequestStep) => void;
--- a/src/process/scheduler/ticket_calls.ts
+++ b/src/process/scheduler/ticket_calls.ts
@@ -14,6 +14,7 @@
 /** Maximum time between two calls of a ticket, in milliseconds. */
 const TICKET_TTL_MS = 2_000;
 
+/** Options of `TicketCalls`. */
 export interface TicketCallsOptions {
   clock: Clock;
   queue: WaitingQueue<Waiter>;
--- a/src/process/scheduler/wait_estimator.ts
+++ b/src/process/scheduler/wait_estimator.ts
@@ -17,6 +17,7 @@
 import type { WaiterFactory } from "./waiter_factory.ts";
 import type { WaitingQueue } from "./waiting_queue.ts";
 
+/** Options of a `WaitEstimator`. */
 export interface WaitEstimatorOptions {
   queue: WaitingQueue<Waiter>;
   replicas: ReplicaSet;
--- a/src/request/request_status_page.ts
+++ b/src/request/request_status_page.ts
@@ -55,6 +55,7 @@
   return buildUnknownPage(requestId, why);
 }
 
+/** Formats a status as callers and operators read it. */
 export function formatStatusPage(status: RequestStatus): RequestStatusPage {
   return {
     request_id: status.requestId,
--- a/src/request/routed_handler.ts
+++ b/src/request/routed_handler.ts
@@ -44,6 +44,7 @@
   objectives: {},
 };
 
+/** Options of a `RoutedHandler`. */
 export interface RoutedHandlerOptions {
   services: RequestServices;
   getSnapshot: () => RoutedSnapshot | undefined;
